--- a/libs/membership/src/member_table.cc
+++ b/libs/membership/src/member_table.cc
@@ -67,11 +67,11 @@
     if (id == options_.self) continue;
     // Heartbeats that came while this process slept are still unread: do not blame the sender.
     if (was_paused_) member.last_heard += gap;
-    const Duration patience = std::max(options_.suspect_after, member.interval * kSuspectIntervals);
-    const bool silent = now - member.last_heard > patience;
-    const bool counted =
+    const Duration timeout = std::max(options_.suspect_after, member.interval * kSuspectIntervals);
+    const bool silent = now - member.last_heard > timeout;
+    const bool is_active =
         member.state == MemberState::kLive || member.state == MemberState::kDraining;
-    if (!silent || !counted) continue;
+    if (!silent || !is_active) continue;
     member.state = MemberState::kSuspect;
     suspects.push_back(id);
     ++epoch_;
--- a/libs/quarantine/include/cartsail/quarantine/backend_end_watch.h
+++ b/libs/quarantine/include/cartsail/quarantine/backend_exit_detector.h
@@ -16,7 +16,7 @@
 
 namespace cartsail {
 
-class BackendEndWatch {
+class BackendExitDetector {
  public:
   // The connection broke while the back end had the request. Returns strikes where the back end is
   // known to have ended.
@@ -51,13 +51,13 @@
     bool is_listening = false;  // see NoteListening()
   };
 
-  struct Doubt {
+  struct SuspectedExit {
     std::vector<BrokenRequest> requests;
     TimePoint next_probe;
   };
 
-  std::unordered_map<BackendKey, Doubt> doubts_;
-  std::unordered_map<BackendKey, TimePoint> ended_;  // when that became known
+  std::unordered_map<BackendKey, SuspectedExit> suspected_;
+  std::unordered_map<BackendKey, TimePoint> exited_;  // when that became known
 };
 
 }  // namespace cartsail
--- a/libs/quarantine/include/cartsail/quarantine/quarantine_list.h
+++ b/libs/quarantine/include/cartsail/quarantine/quarantine_list.h
@@ -33,7 +33,7 @@
   bool WasLifted(RequestFingerprint request, TimePoint now) const;
 
   // How long it is still kept from back ends; nothing when it may be sent.
-  std::optional<Duration> LeftFor(RequestFingerprint request, TimePoint now) const;
+  std::optional<Duration> RemainingTime(RequestFingerprint request, TimePoint now) const;
 
   // The newest ones first, `most` at most.
   std::vector<QuarantinedRequest> Newest(size_t most, TimePoint now) const;
--- a/libs/quarantine/include/cartsail/quarantine/recent_runs.h
+++ b/libs/quarantine/include/cartsail/quarantine/recent_completions.h
@@ -10,12 +10,12 @@
 
 namespace cartsail {
 
-class RecentRuns {
+class RecentCompletions {
  public:
   void Note(RequestFingerprint request, TimePoint now);
 
   // True when a back end ran the request to the end after `since`, as far as this still remembers.
-  bool RanSince(RequestFingerprint request, TimePoint since) const;
+  bool CompletedSince(RequestFingerprint request, TimePoint since) const;
 
  private:
   using Generation = std::unordered_map<RequestFingerprint, TimePoint>;
--- a/libs/quarantine/include/cartsail/quarantine/strike.h
+++ b/libs/quarantine/include/cartsail/quarantine/strike.h
@@ -24,6 +24,6 @@
 
 // Back ends that end within that time may have ended for one reason in common: a request that is
 // in flight everywhere is in flight there too.
-inline constexpr Duration kOneMoment = milliseconds(50);
+inline constexpr Duration kSimultaneousExitWindow = milliseconds(50);
 
 }  // namespace cartsail
--- a/libs/quarantine/include/cartsail/quarantine/strike_ledger.h
+++ b/libs/quarantine/include/cartsail/quarantine/strike_ledger.h
@@ -18,7 +18,7 @@
   RequestFingerprint request = 0;
   std::vector<BackendKey> backends;
   TimePoint first_strike;
-  bool is_of_one_moment = false;  // all of them ended within kOneMoment
+  bool is_simultaneous = false;  // all of them ended within kSimultaneousExitWindow
 };
 
 class StrikeLedger {
@@ -32,7 +32,8 @@
 
   // `by` is quarantined, since these back ends ended under it: others that ran there may be
   // innocent.
-  void Explain(const std::vector<BackendKey>& backends, RequestFingerprint by, TimePoint now);
+  void AttributeExits(const std::vector<BackendKey>& backends, RequestFingerprint by,
+                      TimePoint now);
 
   // The request is innocent: a back end has run it to the end.
   void Clear(RequestFingerprint request) { records_.erase(request); }
@@ -51,24 +52,24 @@
     TimePoint last;
   };
 
-  struct Explanation {
+  struct Attribution {
     std::vector<BackendKey> backends;
     TimePoint since;
   };
 
-  bool IsExplained(RequestFingerprint request, const std::vector<BackendKey>& backends) const;
-  void MakeRoom();
+  bool IsAttributed(RequestFingerprint request, const std::vector<BackendKey>& backends) const;
+  void EvictOlderHalf();
 
   std::unordered_map<RequestFingerprint, Record> records_;
-  std::unordered_map<RequestFingerprint, Explanation> explanations_;  // by who is quarantined
+  std::unordered_map<RequestFingerprint, Attribution> attributions_;  // by who is quarantined
 };
 
 // Nodes that keep the count of a request.
-inline constexpr size_t kStrikeCounters = 3;
+inline constexpr size_t kStrikeLedgerReplicas = 3;
 
 // Those of `hosts` that keep the count of `request`, the first one before the others (rendezvous
 // hashing): all nodes that know the same hosts agree, and few requests move when one comes or goes.
-std::vector<std::string> StrikeCountersOf(RequestFingerprint request,
-                                          std::vector<std::string> hosts);
+std::vector<std::string> StrikeLedgerNodesOf(RequestFingerprint request,
+                                             std::vector<std::string> hosts);
 
 }  // namespace cartsail
--- a/libs/quarantine/src/quarantine_list.cc
+++ b/libs/quarantine/src/quarantine_list.cc
@@ -6,16 +6,16 @@
 namespace {
 
 // Each takes three back ends; more would be an attack that refusing single requests does not stop.
-constexpr size_t kMostQuarantined = 1000;
+constexpr size_t kMaxQuarantined = 1000;
 // Word of a quarantine travels within some seconds, by the slowest way with a catalog.
-constexpr Duration kLiftHolds = seconds(30);
+constexpr Duration kLiftRetention = seconds(30);
 
 }  // namespace
 
 bool QuarantineList::Add(const QuarantinedRequest& quarantined, TimePoint now) {
   if (quarantined.until <= now || WasLifted(quarantined.request, now)) return false;
   if (quarantined_.contains(quarantined.request)) return false;
-  if (quarantined_.size() >= kMostQuarantined) {
+  if (quarantined_.size() >= kMaxQuarantined) {
     const auto ends_before = [](const auto& left, const auto& right) {
       return left.second < right.second;
     };
@@ -35,10 +35,11 @@
 
 bool QuarantineList::WasLifted(RequestFingerprint request, TimePoint now) const {
   const auto lifted = lifted_.find(request);
-  return lifted != lifted_.end() && now - lifted->second < kLiftHolds;
+  return lifted != lifted_.end() && now - lifted->second < kLiftRetention;
 }
 
-std::optional<Duration> QuarantineList::LeftFor(RequestFingerprint request, TimePoint now) const {
+std::optional<Duration> QuarantineList::RemainingTime(RequestFingerprint request,
+                                                      TimePoint now) const {
   if (quarantined_.empty()) return std::nullopt;
   const auto quarantined = quarantined_.find(request);
   if (quarantined == quarantined_.end() || quarantined->second <= now) return std::nullopt;
@@ -62,7 +63,7 @@
   const size_t before = quarantined_.size();
   std::erase_if(quarantined_, [now](const auto& entry) { return entry.second <= now; });
   if (quarantined_.size() != before) ++changes_;
-  std::erase_if(lifted_, [now](const auto& entry) { return now - entry.second >= kLiftHolds; });
+  std::erase_if(lifted_, [now](const auto& entry) { return now - entry.second >= kLiftRetention; });
 }
 
 }  // namespace cartsail
--- a/libs/quarantine/src/strike_ledger.cc
+++ b/libs/quarantine/src/strike_ledger.cc
@@ -8,15 +8,15 @@
 namespace {
 
 // Twice as long as a request is kept from back ends: the first end after that is its fourth.
-constexpr Duration kStrikeMemory = seconds(1200);
+constexpr Duration kStrikeRetention = seconds(1200);
 // Of 3,400 back ends with 40 requests each a zone of 200 has 8,000; a node keeps the count of 50 of
 // those. 10,000 have 1 MB.
-constexpr size_t kMostRecords = 10000;
+constexpr size_t kMaxRecords = 10000;
 
-// Strikes that no explanation outweighs: requests that end back ends may have shared some. In 1,000
+// Strikes that no attribution outweighs: requests that end back ends may have shared some. In 1,000
 // simulated storms with two of them each ends 4 at most, 5 with a limit of five; 1,645 instead of
 // 1,355 of 180,000 innocent requests are refused.
-constexpr size_t kStrikesDespiteExplanation = 4;
+constexpr size_t kStrikesDespiteAttribution = 4;
 
 bool Contains(const std::vector<BackendKey>& backends, BackendKey backend) {
   return std::find(backends.begin(), backends.end(), backend) != backends.end();
@@ -25,7 +25,7 @@
 }  // namespace
 
 std::optional<Verdict> StrikeLedger::Note(const Strike& strike) {
-  if (records_.size() >= kMostRecords) MakeRoom();
+  if (records_.size() >= kMaxRecords) EvictOlderHalf();
   const auto [entry, is_new] = records_.try_emplace(strike.request);
   Record& record = entry->second;
   if (Contains(record.backends, strike.backend)) return std::nullopt;
@@ -41,27 +41,27 @@
   const Record& record = entry->second;
   const size_t strikes = record.backends.size();
   if (strikes < kStrikesToQuarantine) return std::nullopt;
-  const bool is_explained = IsExplained(request, record.backends);
-  if (is_explained && strikes < kStrikesDespiteExplanation) return std::nullopt;
-  const bool is_of_one_moment = record.last - record.first <= kOneMoment;
-  return Verdict{request, record.backends, record.first, is_of_one_moment};
+  const bool is_attributed = IsAttributed(request, record.backends);
+  if (is_attributed && strikes < kStrikesDespiteAttribution) return std::nullopt;
+  const bool is_simultaneous = record.last - record.first <= kSimultaneousExitWindow;
+  return Verdict{request, record.backends, record.first, is_simultaneous};
 }
 
-void StrikeLedger::Explain(const std::vector<BackendKey>& backends, RequestFingerprint by,
-                           TimePoint now) {
-  explanations_[by] = {backends, now};
+void StrikeLedger::AttributeExits(const std::vector<BackendKey>& backends, RequestFingerprint by,
+                                  TimePoint now) {
+  attributions_[by] = {backends, now};
 }
 
 // Some quarantined request was at most of the same back ends, and at one more where this one was
 // not. Of two that were at all the same ones either may have ended them.
-bool StrikeLedger::IsExplained(RequestFingerprint request,
-                               const std::vector<BackendKey>& backends) const {
-  for (const auto& [by, explanation] : explanations_) {
+bool StrikeLedger::IsAttributed(RequestFingerprint request,
+                                const std::vector<BackendKey>& backends) const {
+  for (const auto& [by, attribution] : attributions_) {
     if (by == request) continue;
     const auto is_shared = [&backends](BackendKey backend) { return Contains(backends, backend); };
     const auto shared = static_cast<size_t>(
-        std::count_if(explanation.backends.begin(), explanation.backends.end(), is_shared));
-    if (shared == explanation.backends.size()) continue;
+        std::count_if(attribution.backends.begin(), attribution.backends.end(), is_shared));
+    if (shared == attribution.backends.size()) continue;
     if (backends.size() - shared < kStrikesToQuarantine) return true;
   }
   return false;
@@ -74,13 +74,13 @@
 
 void StrikeLedger::Expire(TimePoint now) {
   std::erase_if(records_,
-                [now](const auto& entry) { return now - entry.second.last > kStrikeMemory; });
-  std::erase_if(explanations_,
-                [now](const auto& entry) { return now - entry.second.since > kStrikeMemory; });
+                [now](const auto& entry) { return now - entry.second.last > kStrikeRetention; });
+  std::erase_if(attributions_,
+                [now](const auto& entry) { return now - entry.second.since > kStrikeRetention; });
 }
 
 // Forgets the older half.
-void StrikeLedger::MakeRoom() {
+void StrikeLedger::EvictOlderHalf() {
   std::vector<TimePoint> times;
   times.reserve(records_.size());
   for (const auto& [request, record] : records_) times.push_back(record.last);
@@ -90,12 +90,12 @@
   std::erase_if(records_, [limit](const auto& entry) { return entry.second.last <= limit; });
 }
 
-std::vector<std::string> StrikeCountersOf(RequestFingerprint request,
-                                          std::vector<std::string> hosts) {
+std::vector<std::string> StrikeLedgerNodesOf(RequestFingerprint request,
+                                             std::vector<std::string> hosts) {
   const auto ranks_before = [request](const std::string& left, const std::string& right) {
     return Hash64(left, request) > Hash64(right, request);
   };
-  const size_t count = std::min(kStrikeCounters, hosts.size());
+  const size_t count = std::min(kStrikeLedgerReplicas, hosts.size());
   const auto end = hosts.begin() + static_cast<int64_t>(count);
   std::partial_sort(hosts.begin(), end, hosts.end(), ranks_before);
   hosts.resize(count);
--- a/libs/quarantine/tests/quarantine_list_test.cc
+++ b/libs/quarantine/tests/quarantine_list_test.cc
@@ -1,6 +1,6 @@
 #include "cartsail/quarantine/quarantine_list.h"
 
-#include "cartsail/quarantine/recent_runs.h"
+#include "cartsail/quarantine/recent_completions.h"
 #include "testing/criterion.h"
 
 namespace cartsail {
@@ -11,11 +11,11 @@
 
 Test(quarantine_list, a_request_is_kept_until_its_time_is_over) {
   QuarantineList list;
-  cr_assert(!list.LeftFor(kRequest, kStart).has_value());
+  cr_assert(!list.RemainingTime(kRequest, kStart).has_value());
   cr_assert(list.Add({kRequest, kStart + seconds(600)}, kStart));
   cr_assert(!list.Add({kRequest, kStart + seconds(900)}, kStart), "known already");
-  cr_assert(list.LeftFor(kRequest, kStart + seconds(10)) == Duration(seconds(590)));
-  cr_assert(!list.LeftFor(kRequest, kStart + seconds(600)).has_value());
+  cr_assert(list.RemainingTime(kRequest, kStart + seconds(10)) == Duration(seconds(590)));
+  cr_assert(!list.RemainingTime(kRequest, kStart + seconds(600)).has_value());
   list.Expire(kStart + seconds(600));
   cr_assert(list.Size() == 0);
 }
@@ -41,22 +41,22 @@
 }
 
 Test(recent_runs, remembers_for_a_minute_and_forgets) {
-  RecentRuns runs;
+  RecentCompletions runs;
   runs.Note(kRequest, kStart);
-  cr_assert(runs.RanSince(kRequest, kStart - seconds(1)));
-  cr_assert(!runs.RanSince(kRequest, kStart), "not after");
+  cr_assert(runs.CompletedSince(kRequest, kStart - seconds(1)));
+  cr_assert(!runs.CompletedSince(kRequest, kStart), "not after");
   runs.Note(6, kStart + seconds(59));
-  cr_assert(runs.RanSince(kRequest, kStart - seconds(1)));
+  cr_assert(runs.CompletedSince(kRequest, kStart - seconds(1)));
   runs.Note(7, kStart + seconds(130));
   runs.Note(8, kStart + seconds(200));
-  cr_assert(!runs.RanSince(kRequest, kStart - seconds(1)));
+  cr_assert(!runs.CompletedSince(kRequest, kStart - seconds(1)));
 }
 
 Test(recent_runs, is_bounded) {
-  RecentRuns runs;
+  RecentCompletions runs;
   for (RequestFingerprint request = 0; request < 100000; ++request) runs.Note(request, kStart);
-  cr_assert(!runs.RanSince(0, kStart - seconds(1)));
-  cr_assert(runs.RanSince(99999, kStart - seconds(1)));
+  cr_assert(!runs.CompletedSince(0, kStart - seconds(1)));
+  cr_assert(runs.CompletedSince(99999, kStart - seconds(1)));
 }
 
 }  // namespace
--- a/libs/quarantine/tests/strike_ledger_test.cc
+++ b/libs/quarantine/tests/strike_ledger_test.cc
@@ -50,10 +50,10 @@
   for (BackendKey backend = 1; backend <= 3; ++backend) {
     (void)ledger.Note({kInnocent, backend, kStart + milliseconds(backend)});
   }
-  cr_assert(ledger.VerdictOn(kInnocent)->is_of_one_moment);
+  cr_assert(ledger.VerdictOn(kInnocent)->is_simultaneous);
   // Told later, as one that was seen by its entry's end.
   const std::optional<Verdict> verdict = ledger.Note({kInnocent, 4, kStart - milliseconds(60)});
-  cr_assert(!verdict->is_of_one_moment);
+  cr_assert(!verdict->is_simultaneous);
   cr_assert(verdict->first_strike == kStart - milliseconds(60));
 }
 
@@ -71,7 +71,7 @@
 // request again: without the explanation they would be refused after their third engine.
 Test(strike_ledger, what_a_quarantined_request_ended_is_held_against_no_other) {
   StrikeLedger ledger;
-  ledger.Explain({1, 2, 3}, kDeadly, kStart);
+  ledger.AttributeExits({1, 2, 3}, kDeadly, kStart);
   for (const BackendKey backend : {1U, 2U}) (void)ledger.Note({kInnocent, backend, kStart});
   cr_assert(!ledger.Note({kInnocent, 4, kStart}).has_value());
   // Back ends that ended for another reason still count.
@@ -82,7 +82,7 @@
 Test(strike_ledger, two_requests_with_the_same_strikes_are_both_quarantined) {
   StrikeLedger ledger;
   for (const BackendKey backend : {1U, 2U}) (void)ledger.Note({kDeadly, backend, kStart});
-  ledger.Explain({1, 2, 3}, kInnocent, kStart);
+  ledger.AttributeExits({1, 2, 3}, kInnocent, kStart);
   cr_assert(ledger.Note({kDeadly, 3, kStart}).has_value());
 }
 
@@ -138,7 +138,7 @@
     for (const RequestFingerprint request : there) {
       const std::optional<Verdict> verdict = ledger.Note({request, ended, kStart});
       if (!verdict.has_value()) continue;
-      ledger.Explain(verdict->backends, request, kStart);
+      ledger.AttributeExits(verdict->backends, request, kStart);
       at_large.erase(request);
       storm.innocents_refused += request < kDeadly ? 1 : 0;
     }
@@ -174,22 +174,22 @@
 
 Test(strike_ledger, nodes_agree_who_counts_whatever_the_order_of_hosts) {
   std::vector<std::string> hosts = Hosts(20);
-  const std::vector<std::string> counters = StrikeCountersOf(kDeadly, hosts);
-  cr_assert(counters.size() == kStrikeCounters);
+  const std::vector<std::string> counters = StrikeLedgerNodesOf(kDeadly, hosts);
+  cr_assert(counters.size() == kStrikeLedgerReplicas);
   std::reverse(hosts.begin(), hosts.end());
-  cr_assert(StrikeCountersOf(kDeadly, hosts) == counters);
-  cr_assert(StrikeCountersOf(kDeadly, Hosts(2)).size() == 2);
+  cr_assert(StrikeLedgerNodesOf(kDeadly, hosts) == counters);
+  cr_assert(StrikeLedgerNodesOf(kDeadly, Hosts(2)).size() == 2);
 }
 
 // When a node goes, two of the three that counted still do.
 Test(strike_ledger, most_who_count_stay_when_a_node_goes) {
   const std::vector<std::string> hosts = Hosts(20);
   for (RequestFingerprint request = 0; request < 100; ++request) {
-    const std::vector<std::string> before = StrikeCountersOf(request, hosts);
+    const std::vector<std::string> before = StrikeLedgerNodesOf(request, hosts);
     for (const std::string& gone : hosts) {
       std::vector<std::string> left = hosts;
       std::erase(left, gone);
-      const std::vector<std::string> after = StrikeCountersOf(request, left);
+      const std::vector<std::string> after = StrikeLedgerNodesOf(request, left);
       const auto stays = [&after](const std::string& host) {
         return std::find(after.begin(), after.end(), host) != after.end();
       };
--- a/libs/reachability/include/cartsail/reachability/path_table.h
+++ b/libs/reachability/include/cartsail/reachability/path_table.h
@@ -32,7 +32,7 @@
 
   // Several paths were found cut one after the other, and no connection was made since: this node
   // has lost its paths, and need not find out for each back end.
-  bool HasLostAll() const { return has_lost_all_; }
+  bool HasLostAllPaths() const { return has_lost_all_; }
 
   // Back ends to which this node is to try a connection now: few at a time, the less often the
   // longer the path has been cut. A path that comes back is found so, not by a caller's request.
@@ -51,7 +51,7 @@
 
   std::unordered_map<BackendKey, TimePoint> failed_;  // the last failure, none was made since
   std::unordered_map<BackendKey, CutPath> cut_;
-  std::unordered_set<BackendKey> cut_in_turn_;  // since a connection was made last
+  std::unordered_set<BackendKey> consecutive_cuts_;  // since a connection was made last
   bool has_lost_all_ = false;
 };
 
--- a/libs/reachability/include/cartsail/reachability/end_evidence.h
+++ b/libs/reachability/include/cartsail/reachability/reachability_evidence.h
@@ -14,18 +14,18 @@
 };
 
 enum class PathVerdict {
-  kWell,         // this node reaches it
+  kReachable,    // this node reaches it
   kCut,          // another node does: it is the path
   kEnded,        // refused to all that tried: its process has ended
   kUnreachable,  // nobody that tried reaches it, for more than one reason
   kUnknown,      // nobody else could try
 };
 
-class EndEvidence {
+class ReachabilityEvidence {
  public:
   // `own`: of this node's connection, which was not made. `may_ask`: there are nodes that could try
   // too.
-  EndEvidence(ConnectResult own, bool may_ask) : own_(own), may_ask_(may_ask) {}
+  ReachabilityEvidence(ConnectResult own, bool may_ask) : own_(own), may_ask_(may_ask) {}
 
   // Of another node that tried.
   void Note(ConnectResult result);
--- a/libs/reachability/src/path_table.cc
+++ b/libs/reachability/src/path_table.cc
@@ -6,17 +6,17 @@
 namespace {
 
 // Another node's connection says something of a failure here for so long.
-constexpr Duration kFailureHolds = seconds(5);
+constexpr Duration kFailureValidity = seconds(5);
 // Paths that are found cut in turn, with no connection made between, tell that all are. With one a
 // single cut path would send all conversations over others.
-constexpr size_t kCutsThatTellAll = 2;
-constexpr Duration kFirstProbe = milliseconds(500);
-constexpr Duration kLongestProbePause = seconds(2);
+constexpr size_t kCutsToLoseAll = 2;
+constexpr Duration kFirstProbeDelay = milliseconds(500);
+constexpr Duration kMaxProbeDelay = seconds(2);
 
-Duration PauseAfter(int probes) {
-  Duration pause = kFirstProbe;
-  for (int i = 0; i < probes && pause < kLongestProbePause; ++i) pause *= 2;
-  return std::min(pause, kLongestProbePause);
+Duration ProbeDelay(int probes) {
+  Duration delay = kFirstProbeDelay;
+  for (int i = 0; i < probes && delay < kMaxProbeDelay; ++i) delay *= 2;
+  return std::min(delay, kMaxProbeDelay);
 }
 
 }  // namespace
@@ -24,7 +24,7 @@
 void PathTable::NoteConnected(BackendKey backend, TimePoint now) {
   failed_.erase(backend);
   cut_.erase(backend);
-  cut_in_turn_.clear();
+  consecutive_cuts_.clear();
   if (!has_lost_all_) return;
   has_lost_all_ = false;
   // What ended the loss of one path has mostly ended that of the others.
@@ -35,10 +35,10 @@
 
 bool PathTable::NoteReachedByOther(BackendKey backend, TimePoint now) {
   const auto failure = failed_.find(backend);
-  if (failure == failed_.end() || now - failure->second > kFailureHolds) return false;
-  const bool is_new = cut_.try_emplace(backend, CutPath{now + kFirstProbe, 0}).second;
-  cut_in_turn_.insert(backend);
-  if (cut_in_turn_.size() >= kCutsThatTellAll) has_lost_all_ = true;
+  if (failure == failed_.end() || now - failure->second > kFailureValidity) return false;
+  const bool is_new = cut_.try_emplace(backend, CutPath{now + kFirstProbeDelay, 0}).second;
+  consecutive_cuts_.insert(backend);
+  if (consecutive_cuts_.size() >= kCutsToLoseAll) has_lost_all_ = true;
   return is_new;
 }
 
@@ -58,7 +58,7 @@
   due.resize(taken);
   for (const BackendKey backend : due) {
     CutPath& path = cut_.at(backend);
-    path.next_probe = now + PauseAfter(++path.probes);
+    path.next_probe = now + ProbeDelay(++path.probes);
   }
   return due;
 }
@@ -67,7 +67,7 @@
   const auto is_gone = [&is_known](const auto& entry) { return !is_known(entry.first); };
   std::erase_if(failed_, is_gone);
   std::erase_if(cut_, is_gone);
-  std::erase_if(cut_in_turn_, [&is_known](BackendKey backend) { return !is_known(backend); });
+  std::erase_if(consecutive_cuts_, [&is_known](BackendKey backend) { return !is_known(backend); });
   if (cut_.empty()) has_lost_all_ = false;
 }
 
--- a/libs/reachability/src/end_evidence.cc
+++ b/libs/reachability/src/reachability_evidence.cc
@@ -1,14 +1,14 @@
-#include "cartsail/reachability/end_evidence.h"
+#include "cartsail/reachability/reachability_evidence.h"
 
 namespace cartsail {
 
-void EndEvidence::Note(ConnectResult result) {
+void ReachabilityEvidence::Note(ConnectResult result) {
   connected_ = connected_ || result == ConnectResult::kConnected;
   refused_ += result == ConnectResult::kRefused ? 1 : 0;
   failed_ += result == ConnectResult::kFailed ? 1 : 0;
 }
 
-PathVerdict EndEvidence::Verdict() const {
+PathVerdict ReachabilityEvidence::Verdict() const {
   if (connected_) return PathVerdict::kCut;
   const bool is_refused = own_ == ConnectResult::kRefused;
   if (refused_ + failed_ == 0) {
--- a/libs/reachability/tests/end_evidence_test.cc
+++ b/libs/reachability/tests/end_evidence_test.cc
@@ -1,10 +1,9 @@
 // What several nodes' connections say of a back end that refuses one of them. Where the paths of
 // five of eight nodes refused connections, 57 requests were held responsible for ends of engines,
 // none of which had ended.
-#include "cartsail/reachability/end_evidence.h"
-
 #include <vector>
 
+#include "cartsail/reachability/reachability_evidence.h"
 #include "testing/criterion.h"
 
 namespace cartsail {
@@ -16,7 +15,7 @@
 
 PathVerdict VerdictOf(ConnectResult own, const std::vector<ConnectResult>& others,
                       bool may_ask = true) {
-  EndEvidence evidence(own, may_ask);
+  ReachabilityEvidence evidence(own, may_ask);
   for (const ConnectResult other : others) evidence.Note(other);
   return evidence.Verdict();
 }
--- a/libs/reachability/tests/path_table_test.cc
+++ b/libs/reachability/tests/path_table_test.cc
@@ -34,7 +34,7 @@
 Test(path_table, both_together_tell_that_the_path_is_cut_until_a_connection_stands) {
   PathTable table;
   Cut(table, kOne, kStart);
-  cr_assert(table.IsCut(kOne) && !table.IsCut(kTwo) && !table.HasLostAll());
+  cr_assert(table.IsCut(kOne) && !table.IsCut(kTwo) && !table.HasLostAllPaths());
   table.NoteConnected(kOne, kStart + seconds(1));
   cr_assert(!table.IsCut(kOne));
 }
@@ -43,9 +43,9 @@
   PathTable table;
   Cut(table, kOne, kStart);
   Cut(table, kTwo, kStart + milliseconds(10));
-  cr_assert(table.HasLostAll() && table.IsCut(kThree), "not each has to be tried");
+  cr_assert(table.HasLostAllPaths() && table.IsCut(kThree), "not each has to be tried");
   table.NoteConnected(kThree, kStart + seconds(1));
-  cr_assert(!table.HasLostAll() && !table.IsCut(kThree));
+  cr_assert(!table.HasLostAllPaths() && !table.IsCut(kThree));
   cr_assert(table.IsCut(kOne) && table.IsCut(kTwo), "each of them is tried before it is used");
 }
 
@@ -54,7 +54,7 @@
   Cut(table, kOne, kStart);
   table.NoteConnected(kThree, kStart + milliseconds(5));
   Cut(table, kTwo, kStart + milliseconds(10));
-  cr_assert(!table.HasLostAll());
+  cr_assert(!table.HasLostAllPaths());
 }
 
 // 12 s with 40 cut paths: a connection for each would be 40 at a time.
@@ -85,7 +85,7 @@
   Cut(table, kOne, kStart);
   Cut(table, kTwo, kStart);
   table.ForgetUnless([](BackendKey) { return false; });
-  cr_assert(!table.HasLostAll() && table.CutPaths() == 0);
+  cr_assert(!table.HasLostAllPaths() && table.CutPaths() == 0);
 }
 
 }  // namespace
--- a/libs/relay/src/quarantine/quarantine_service.cc
+++ b/libs/relay/src/quarantine/quarantine_service.cc
@@ -26,7 +26,7 @@
 constexpr std::array<Duration, 3> kNoticePauses = {milliseconds(0), milliseconds(250),
                                                    milliseconds(750)};
 // A back end that has asked this node to back off is probed when that is over, while a doubt
-// lasts: BackendEndWatch.
+// lasts: BackendExitDetector.
 constexpr Duration kLongestProbeDelay = seconds(10);
 // A process that is ending may close its connections before it stops listening, and its host takes
 // connections for it until then: some milliseconds, more on a busy machine. A connection that was
@@ -69,7 +69,7 @@
 
 std::optional<Duration> QuarantineService::LeftFor(RequestFingerprint request,
                                                    TimePoint now) const {
-  return list_.LeftFor(request, now);
+  return list_.RemainingTime(request, now);
 }
 
 QuarantineService::WatchId QuarantineService::Watch(RequestFingerprint request,
@@ -88,7 +88,7 @@
 
 void QuarantineService::NoteRun(RequestFingerprint request, TimePoint now) {
   runs_.Note(request, now);
-  if (list_.LeftFor(request, now).has_value()) LiftEverywhere(request, "ran", now);
+  if (list_.RemainingTime(request, now).has_value()) LiftEverywhere(request, "ran", now);
 }
 
 // The entry stands and does not announce an end: back ends that leave end when they are done.
@@ -154,7 +154,7 @@
   if (strikes.empty()) return;
   std::vector<Strike> held;
   for (const Strike& strike : strikes) {
-    if (!runs_.RanSince(strike.request, now - kAlibiTime)) held.push_back(strike);
+    if (!runs_.CompletedSince(strike.request, now - kAlibiTime)) held.push_back(strike);
   }
   GlobalCounters().strikes_total.Add(static_cast<int64_t>(held.size()));
   Log(LogLevel::kWarning, "backend_ended",
@@ -172,7 +172,7 @@
 std::vector<std::string> QuarantineService::CountersOf(RequestFingerprint request) const {
   std::vector<std::string> hosts = {host_};
   for (const LivePeer& peer : peers_.LivePeers()) hosts.push_back(peer.host);
-  return StrikeCountersOf(request, std::move(hosts));
+  return StrikeLedgerNodesOf(request, std::move(hosts));
 }
 
 asio::awaitable<void> QuarantineService::TellStrikes(std::vector<Strike> strikes) {
@@ -195,7 +195,7 @@
 void QuarantineService::Count(const Strike& strike) {
   const std::optional<Verdict> verdict = ledger_.Note(strike);
   if (!verdict.has_value()) return;
-  if (verdict->is_of_one_moment) {
+  if (verdict->is_simultaneous) {
     Suspect(*verdict, Now());
   } else {
     Decide(*verdict, Now());
@@ -206,7 +206,7 @@
 // is innocent. An end at another moment decides at once.
 void QuarantineService::Suspect(const Verdict& verdict, TimePoint now) {
   if (!suspected_.insert(verdict.request).second) return;
-  if (runs_.RanSince(verdict.request, verdict.first_strike)) {
+  if (runs_.CompletedSince(verdict.request, verdict.first_strike)) {
     suspected_.erase(verdict.request);
     return LiftEverywhere(verdict.request, "ran_before", now);
   }
@@ -221,17 +221,17 @@
   co_await Pause(kSuspicionTime);
   suspected_.erase(request);
   const std::optional<Verdict> verdict = ledger_.VerdictOn(request);
-  if (!verdict.has_value() || list_.LeftFor(request, Now()).has_value()) co_return;
+  if (!verdict.has_value() || list_.RemainingTime(request, Now()).has_value()) co_return;
   Decide(*verdict, Now());
 }
 
 void QuarantineService::Decide(const Verdict& verdict, TimePoint now) {
   if (list_.WasLifted(verdict.request, now)) return;
-  ledger_.Explain(verdict.backends, verdict.request, now);
+  ledger_.AttributeExits(verdict.backends, verdict.request, now);
   Quarantine({verdict.request, now + kQuarantineTime}, "strikes", now);
   QuarantineNotice notice;
   notice.request = verdict.request;
-  notice.left = list_.LeftFor(verdict.request, now).value_or(kQuarantineTime);
+  notice.left = list_.RemainingTime(verdict.request, now).value_or(kQuarantineTime);
   notice.first_strike_age = now - verdict.first_strike;
   notice.backends = verdict.backends;
   if (transport_.spread) asio::co_spawn(io_, TellAll(notice), asio::detached);
@@ -293,12 +293,12 @@
 
 void QuarantineService::OnNotice(const QuarantineNotice& notice, TimePoint now) {
   if (notice.is_lifted) return Lift(notice.request, "peer", now);
-  const bool is_innocent = runs_.RanSince(notice.request, now - notice.first_strike_age);
+  const bool is_innocent = runs_.CompletedSince(notice.request, now - notice.first_strike_age);
   if (notice.left <= Duration(0)) {
     if (is_innocent) TellCounters(notice.request);
     return;
   }
-  ledger_.Explain(notice.backends, notice.request, now);
+  ledger_.AttributeExits(notice.backends, notice.request, now);
   Quarantine({notice.request, now + notice.left}, "peer", now);
   if (is_innocent) LiftEverywhere(notice.request, "ran_before", now);
 }
@@ -318,7 +318,7 @@
 // An operator or another node has taken it back, or its time is over. The readers of the store tell
 // the others.
 void QuarantineService::NoteErased(RequestFingerprint request, TimePoint now) {
-  if (!list_.LeftFor(request, now).has_value()) return;
+  if (!list_.RemainingTime(request, now).has_value()) return;
   Lift(request, "record_gone", now);
   TellLifted(request);
 }
--- a/libs/relay/src/quarantine/quarantine_service.h
+++ b/libs/relay/src/quarantine/quarantine_service.h
@@ -18,11 +18,11 @@
 #include <vector>
 
 #include "cartsail/dispatch/dispatcher.h"
-#include "cartsail/quarantine/backend_end_watch.h"
+#include "cartsail/quarantine/backend_exit_detector.h"
 #include "cartsail/quarantine/quarantine_list.h"
-#include "cartsail/quarantine/recent_runs.h"
+#include "cartsail/quarantine/recent_completions.h"
 #include "cartsail/quarantine/strike_ledger.h"
-#include "cartsail/reachability/end_evidence.h"
+#include "cartsail/reachability/reachability_evidence.h"
 #include "fleet/peer_table.h"
 #include "quarantine/quarantine_message.h"
 #include "upstream/upstream_pool.h"
@@ -78,7 +78,7 @@
   void NoteBroken(RequestFingerprint request, const Backend& backend, TimePoint now);
 
   // Its host refuses connections to more than this node, or another process has its address. That
-  // it takes connections proves nothing: see BackendEndWatch.
+  // it takes connections proves nothing: see BackendExitDetector.
   void NoteEnded(BackendKey backend, TimePoint now);
   void NoteReplaced(BackendKey backend, TimePoint now);
 
@@ -129,8 +129,8 @@
   Examine examine_;
   Transport transport_;
   Recorder recorder_;
-  BackendEndWatch ends_;
-  RecentRuns runs_;
+  BackendExitDetector ends_;
+  RecentCompletions runs_;
   StrikeLedger ledger_;
   QuarantineList list_;
   std::unordered_set<RequestFingerprint> suspected_;  // DecideLater() runs
--- a/libs/relay/src/retries/repeat_ticket.h
+++ b/libs/relay/src/retries/repeat_ticket.h
@@ -13,7 +13,7 @@
 class RepeatTicket {
  public:
   // `lender`: the node that lent it; empty: none.
-  RepeatTicket(std::shared_ptr<ServiceRetryBudget> budget, const RepeatGrant& grant,
+  RepeatTicket(std::shared_ptr<ServiceRetryBudget> budget, const RetryGrant& grant,
                std::string lender)
       : budget_(std::move(budget)), grant_(grant), lender_(std::move(lender)) {}
 
@@ -23,7 +23,7 @@
   RepeatTicket(const RepeatTicket&) = delete;
   RepeatTicket& operator=(const RepeatTicket&) = delete;
 
-  const RepeatGrant& Grant() const { return grant_; }
+  const RetryGrant& Grant() const { return grant_; }
   const std::string& Lender() const { return lender_; }
 
   bool MaySend(TimePoint now) const { return !is_ended_ && now <= grant_.send_by; }
@@ -38,7 +38,7 @@
 
  private:
   std::shared_ptr<ServiceRetryBudget> budget_;  // exchanges may outlive what else they share
-  RepeatGrant grant_;
+  RetryGrant grant_;
   std::string lender_;
   bool is_sent_ = false;
   bool is_ended_ = false;
--- a/libs/relay/src/retries/retry_service.cc
+++ b/libs/relay/src/retries/retry_service.cc
@@ -47,7 +47,7 @@
     FollowLease(now);
     if (now - tallies_logged_ >= options_.window) LogTallies(now);
     std::erase_if(refused_until_, [now](const auto& entry) { return now >= entry.second; });
-    timer.expires_after(StallWatch::kInterval);
+    timer.expires_after(StallDetector::kInterval);
     boost::system::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
@@ -70,9 +70,9 @@
   return extra_right_.Holds(now) ? peers_.LendingShare() : 0;
 }
 
-double RetryService::LeftOfExtra(const std::string& service) {
+double RetryService::RemainingExtraBudget(const std::string& service) {
   const TimePoint now = Now();
-  return BudgetOf(service)->LeftOfExtra(now, ExtraPart(now));
+  return BudgetOf(service)->RemainingExtraBudget(now, ExtraPart(now));
 }
 
 void RetryService::NoteRequest(const std::string& service, TimePoint received) {
@@ -84,9 +84,9 @@
   const std::shared_ptr<ServiceRetryBudget> budget = BudgetOf(service);
   Tally& tally = tallies_[service];
   const TimePoint now = Now();
-  const std::optional<RepeatGrant> own = budget->Take(now, ExtraPart(now));
+  const std::optional<RetryGrant> own = budget->Take(now, ExtraPart(now));
   if (own.has_value()) {
-    ++(own->source == RepeatSource::kExtra ? tally.of_extra : tally.of_requests);
+    ++(own->source == RetrySource::kExtra ? tally.of_extra : tally.of_requests);
     co_return std::make_unique<RepeatTicket>(budget, *own, "");
   }
   std::optional<Loan> loan;
@@ -178,7 +178,7 @@
            {"borrowed", std::to_string(tally.borrowed)},
            {"lent", std::to_string(tally.lent)},
            {"denied", std::to_string(tally.denied)},
-           {"left", fmt::format("{:.1f}", BudgetOf(service)->LeftOfRequests(now))},
+           {"left", fmt::format("{:.1f}", BudgetOf(service)->RemainingRequestBudget(now))},
            {"extra_part", fmt::format("{:.2f}", ExtraPart(now))},
            {"live", std::to_string(peers_.LiveCount() + 1)}});
     }
--- a/libs/relay/src/retries/retry_service.h
+++ b/libs/relay/src/retries/retry_service.h
@@ -16,9 +16,9 @@
 
 #include "cartsail/base/timer.h"
 #include "cartsail/duties/holder_lease.h"
-#include "cartsail/retries/extra_right.h"
+#include "cartsail/retries/extra_budget_lease.h"
 #include "cartsail/retries/retry_budget.h"
-#include "cartsail/retries/stall_watch.h"
+#include "cartsail/retries/stall_detector.h"
 #include "fleet/datagram.h"
 #include "fleet/peer_table.h"
 #include "retries/repeat_ticket.h"
@@ -59,10 +59,10 @@
   void OnAnswer(const std::string& host, const RepeatAnswer& answer);
 
   // What is left of the service's budget at this node, for the log.
-  double LeftOfRequests(const std::string& service) {
-    return BudgetOf(service)->LeftOfRequests(Now());
+  double RemainingRequestBudget(const std::string& service) {
+    return BudgetOf(service)->RemainingRequestBudget(Now());
   }
-  double LeftOfExtra(const std::string& service);
+  double RemainingExtraBudget(const std::string& service);
 
  private:
   // What became of one service's repeats since the last line on them.
@@ -86,7 +86,7 @@
 
   struct Loan {
     std::string lender;
-    RepeatGrant grant;
+    RetryGrant grant;
   };
 
   boost::asio::awaitable<void> Run();
@@ -106,8 +106,8 @@
   RetryBudgetOptions options_;
   Send send_;
   LeaseToken extra_lease_;
-  ExtraRight extra_right_;
-  StallWatch stalls_;
+  ExtraBudgetLease extra_right_;
+  StallDetector stalls_;
   std::map<std::string, std::shared_ptr<ServiceRetryBudget>> budgets_;  // by service
   std::map<std::string, Tally> tallies_;                                // by service
   TimePoint tallies_logged_{};
--- a/libs/relay/src/streams/engine_processes.h
+++ b/libs/relay/src/streams/engine_processes.h
@@ -15,7 +15,7 @@
 
 #include "cartsail/base/timer.h"
 #include "cartsail/dispatch/backend_registry.h"
-#include "cartsail/retries/stall_watch.h"
+#include "cartsail/retries/stall_detector.h"
 #include "cartsail/streams/engine_entry.h"
 #include "cartsail/streams/stream_record.h"
 
@@ -34,7 +34,7 @@
   // Without one the list of engines is taken for true.
   void SetEntries(ReadEntry read) { read_entry_ = std::move(read); }
 
-  // To be called every StallWatch::kInterval.
+  // To be called every StallDetector::kInterval.
   void Beat(TimePoint now) { stalls_.Beat(now); }
 
   // The list of engines was the store's at `then`, as this node reads now.
@@ -71,7 +71,7 @@
   const BackendRegistry& registry_;
   ReadEntry read_entry_;
   TimePoint list_confirmed_{};
-  StallWatch stalls_;
+  StallDetector stalls_;
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/streams/stream_keeping.cc
+++ b/libs/relay/src/streams/stream_keeping.cc
@@ -100,13 +100,13 @@
   if (!saving_.contains(service)) co_return;
   std::vector<StreamRecord>& unsaved = unsaved_[service];
   unsaved.insert(unsaved.end(), records.begin(), records.end());
-  if (unsaved.size() > StreamRecords::kMost) unsaved.clear();
+  if (unsaved.size() > StreamRecords::kMaxRecords) unsaved.clear();
 }
 
 // Only a node that has seen every version of the time may tell that one is gone.
 asio::awaitable<void> StreamService::Prune(std::string service) {
   const TimePoint now = Now();
-  if (now - started_ < kVersionKept || IsOutOfTouch(now)) co_return;
+  if (now - started_ < kVersionRetention || IsOutOfTouch(now)) co_return;
   const absl::Status pruned = co_await store_->KeepOnly(service, history_.VersionsOf(service, now));
   if (!pruned.ok()) {
     Log(LogLevel::kWarning, "version_ledger_not_pruned",
--- a/libs/relay/src/streams/stream_service.cc
+++ b/libs/relay/src/streams/stream_service.cc
@@ -20,7 +20,7 @@
 // The first event of a stream waits for no longer.
 constexpr Duration kTellPatience = milliseconds(30);
 constexpr Duration kFindPatience = milliseconds(300);
-constexpr Duration kTick = StallWatch::kInterval;
+constexpr Duration kTick = StallDetector::kInterval;
 // What is listed all the time is noted so often.
 constexpr Duration kFollowAgain = seconds(10);
 // A list of 3,000 engines that changes all the time is gone through ten times a second.
@@ -206,7 +206,7 @@
   answer.record.version = *only;
   answer.record.is_confirmed = true;
   answer.record.begun = Now();
-  answer.record.until = Now() + kLongestStream;
+  answer.record.until = Now() + kMaxResumeTime;
   co_return answer;
 }
 
--- a/libs/relay/src/streams/version_permissions.cc
+++ b/libs/relay/src/streams/version_permissions.cc
@@ -48,7 +48,7 @@
   for (const std::string& service : services) {
     for (const std::string& version : history_.VersionsOf(service, now)) {
       const ServiceVersion wanted{service, version};
-      if (IsPermitted(wanted, now + kPermissionHolds / 2)) continue;
+      if (IsPermitted(wanted, now + kPermissionValidity / 2)) continue;
       Registration& registration = registrations_[wanted];
       if (now < registration.not_before) continue;
       registration.not_before = now + (IsPermitted(wanted, now) ? kRenewAgain : kRegisterAgain);
@@ -109,7 +109,7 @@
   registrations_[{service, version}].is_running = false;
   if (ledger.ok()) {
     Permit({service, version}, static_cast<uint32_t>(ledger->Versions().size()),
-           asked + kPermissionHolds);
+           asked + kPermissionValidity);
     co_return;
   }
   Log(LogLevel::kWarning, "version_not_registered",
@@ -122,7 +122,7 @@
   const ServiceVersion wanted{question.service, question.version};
   StreamAnswer answer;
   answer.id = question.id;
-  answer.is_yes = IsPermitted(wanted, Now() + kPermissionHolds / 2);
+  answer.is_yes = IsPermitted(wanted, Now() + kPermissionValidity / 2);
   if (!answer.is_yes) {
     answer.is_yes =
         co_await RegisterHere(question.service, question.version, Now() + kRegisterPatience);
--- a/libs/relay/src/upstream/path_service.cc
+++ b/libs/relay/src/upstream/path_service.cc
@@ -138,7 +138,8 @@
                                                    std::vector<std::string> bridges, bool fresh,
                                                    ConnectResult own, TimePoint deadline,
                                                    const OnPending& on_pending) {
-  const auto round = std::make_shared<AskingRound>(io_, EndEvidence(own, peers_.LiveCount() > 0));
+  const auto round =
+      std::make_shared<AskingRound>(io_, ReachabilityEvidence(own, peers_.LiveCount() > 0));
   size_t next = 0;
   while (round->connection == nullptr && Now() < deadline) {
     if (next < bridges.size() && round->MayAskNext(Now())) {
@@ -204,25 +205,25 @@
 
 // Another node has just connected to it.
 void PathService::NoteReached(const Backend& backend) {
-  const bool had_lost_all = table_.HasLostAll();
+  const bool had_lost_all = table_.HasLostAllPaths();
   if (!table_.NoteReachedByOther(backend.key, Now())) return;
   GlobalCounters().paths_cut_total.Add();
   Log(LogLevel::kWarning, "path_cut",
       {{"backend", backend.id},
        {"address", backend.address},
        {"cut_paths", std::to_string(table_.CutPaths())},
-       {"lost_all", table_.HasLostAll() ? "true" : "false"}});
+       {"lost_all", table_.HasLostAllPaths() ? "true" : "false"}});
   pool_.CloseIdle(backend.key);
   // Those that are idle are as old as the ones that were lost.
-  if (table_.HasLostAll() && !had_lost_all) pool_.CloseOwn();
+  if (table_.HasLostAllPaths() && !had_lost_all) pool_.CloseOwn();
   NoteLostAll();
 }
 
 // Others do not ask a node that has lost its paths to bridge.
 void PathService::NoteLostAll() {
-  if (std::exchange(told_lost_all_, table_.HasLostAll()) == table_.HasLostAll()) return;
-  peers_.SetBridges(!table_.HasLostAll());
-  Log(LogLevel::kWarning, table_.HasLostAll() ? "paths_lost" : "paths_back",
+  if (std::exchange(told_lost_all_, table_.HasLostAllPaths()) == table_.HasLostAllPaths()) return;
+  peers_.SetBridges(!table_.HasLostAllPaths());
+  Log(LogLevel::kWarning, table_.HasLostAllPaths() ? "paths_lost" : "paths_back",
       {{"cut_paths", std::to_string(table_.CutPaths())}});
 }
 
@@ -232,11 +233,11 @@
     // Alone, or among nodes of an earlier build: its own word counts, unless its paths are in
     // doubt.
     const bool is_in_doubt = table_.CutPaths() > 0;
-    co_return EndEvidence(own.value_or(ConnectResult::kFailed), is_in_doubt).Verdict();
+    co_return ReachabilityEvidence(own.value_or(ConnectResult::kFailed), is_in_doubt).Verdict();
   }
   if (table_.IsCut(backend.key)) co_return PathVerdict::kCut;
   const auto use = uses_.find(backend.key);
-  if (use != uses_.end() && use->second->Heard() > since) co_return PathVerdict::kWell;
+  if (use != uses_.end() && use->second->Heard() > since) co_return PathVerdict::kReachable;
   const auto known = examinations_.find(backend.key);
   if (known != examinations_.end()) {
     const std::shared_ptr<Examination> examination = known->second;
@@ -254,7 +255,7 @@
 
 asio::awaitable<PathVerdict> PathService::Find(Backend backend, std::optional<ConnectResult> own) {
   if (!own.has_value()) own = co_await ConnectOwn(backend);
-  if (own == ConnectResult::kConnected) co_return PathVerdict::kWell;
+  if (own == ConnectResult::kConnected) co_return PathVerdict::kReachable;
   const OnPending nobody = [](const std::shared_ptr<UpstreamConnection>&) {};
   std::vector<std::string> bridges = Bridges(backend.key, RegionSet(), kMostObservers);
   const TimePoint limit = Now() + kLongestRound;
--- a/libs/relay/src/upstream/path_service.h
+++ b/libs/relay/src/upstream/path_service.h
@@ -16,8 +16,8 @@
 
 #include "cartsail/base/timer.h"
 #include "cartsail/dispatch/dispatcher.h"
-#include "cartsail/reachability/end_evidence.h"
 #include "cartsail/reachability/path_table.h"
+#include "cartsail/reachability/reachability_evidence.h"
 #include "fleet/peer_table.h"
 #include "upstream/upstream_pool.h"
 
@@ -84,7 +84,8 @@
 
   // Other nodes are asked to reach a back end.
   struct AskingRound {
-    AskingRound(boost::asio::io_context& io, EndEvidence known) : evidence(known), changed(io) {}
+    AskingRound(boost::asio::io_context& io, ReachabilityEvidence known)
+        : evidence(known), changed(io) {}
 
     bool MayAskNext(TimePoint now) const { return running == 0 || now >= next; }
     void NoteAsked(TimePoint next_one) {
@@ -92,7 +93,7 @@
       next = next_one;
     }
 
-    EndEvidence evidence;
+    ReachabilityEvidence evidence;
     std::shared_ptr<UpstreamConnection> connection;  // of the first one that reached it
     int running = 0;
     TimePoint next{};  // when one more is asked
--- a/libs/relay/src/upstream/upstream_connection.h
+++ b/libs/relay/src/upstream/upstream_connection.h
@@ -14,7 +14,7 @@
 #include "cartsail/base/clock.h"
 #include "cartsail/net/body_end.h"
 #include "cartsail/net/http_types.h"
-#include "cartsail/reachability/end_evidence.h"
+#include "cartsail/reachability/reachability_evidence.h"
 #include "upstream/bridge_message.h"
 #include "upstream/path_use.h"
 #include "upstream/upstream_stream.h"
--- a/libs/relay/tests/quarantine_service_test.cc
+++ b/libs/relay/tests/quarantine_service_test.cc
@@ -97,7 +97,7 @@
   Node node;
   node.End(0);
   node.RunFor(kTellingTime);
-  const std::vector<std::string> counters = StrikeCountersOf(
+  const std::vector<std::string> counters = StrikeLedgerNodesOf(
       kRequest, {kHost, "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6"});
   for (const std::string& host : counters) {
     const auto is_told = [&host](const auto& told) { return told.first == host; };
--- a/libs/relay/tests/retry_service_test.cc
+++ b/libs/relay/tests/retry_service_test.cc
@@ -115,7 +115,7 @@
   Network network;
   NoteRequests(network.Node(0), 20);
   const auto ticket = network.Take(0);
-  cr_assert(ticket != nullptr && ticket->Grant().source == RepeatSource::kRequests);
+  cr_assert(ticket != nullptr && ticket->Grant().source == RetrySource::kRequests);
   cr_assert(network.Messages() == 0);
 }
 
@@ -161,7 +161,7 @@
   Network network;
   network.Node(3).retries.SetExtraLease([] { return std::optional<FencingToken>(7); });
   cr_assert(network.Take(3) == nullptr, "its predecessor's repeats still count");
-  const TimePoint end = Now() + ExtraWait(Options()) + milliseconds(300);
+  const TimePoint end = Now() + ExtraHandoverDelay(Options()) + milliseconds(300);
   while (Now() < end) std::this_thread::sleep_for(milliseconds(10));
   std::vector<std::unique_ptr<RepeatTicket>> tickets;
   for (int i = 0; i < 8; ++i) tickets.push_back(network.Take(i % kNodes));
--- a/libs/relay/tests/support/budget_fleet.cc
+++ b/libs/relay/tests/support/budget_fleet.cc
@@ -1,7 +1,7 @@
 #include "support/budget_fleet.h"
 
 #include "cartsail/duties/holder_lease.h"
-#include "cartsail/retries/extra_right.h"
+#include "cartsail/retries/extra_budget_lease.h"
 #include "retries/retry_service.h"
 
 namespace cartsail::testing {
@@ -22,7 +22,7 @@
 
   std::shared_ptr<ServiceRetryBudget> budget;
   HolderLease lease;
-  ExtraRight right;
+  ExtraBudgetLease right;
   TimePoint frozen_until{};
 };
 
@@ -105,14 +105,15 @@
   return asked.right.Holds(now) ? 1 : 0;
 }
 
-std::optional<RepeatGrant> BudgetFleet::Borrow(int node, TimePoint now) {
+std::optional<RetryGrant> BudgetFleet::Borrow(int node, TimePoint now) {
   for (int i = 0; i < kPartitionedNodes; ++i) {
     if (i == node || !IsReached(node, i) || !Runs(i, now)) continue;
     ServiceRetryBudget& lender = *nodes_[static_cast<size_t>(i)]->budget;
     const double part = ExtraPart(i, now);
-    const bool lends = rule_ == BudgetRule::kLoansNotCounted
-                           ? lender.LeftOfRequests(now) >= 1 || lender.LeftOfExtra(now, part) >= 1
-                           : lender.Lend(now, part);
+    const bool lends =
+        rule_ == BudgetRule::kLoansNotCounted
+            ? lender.RemainingRequestBudget(now) >= 1 || lender.RemainingExtraBudget(now, part) >= 1
+            : lender.Lend(now, part);
     if (lends) return nodes_[static_cast<size_t>(node)]->budget->TakeLoan(now);
   }
   return std::nullopt;
@@ -120,7 +121,7 @@
 
 bool BudgetFleet::Repeat(int node, TimePoint now, TimePoint arrives) {
   const std::shared_ptr<ServiceRetryBudget>& budget = nodes_[static_cast<size_t>(node)]->budget;
-  std::optional<RepeatGrant> grant = budget->Take(now, ExtraPart(node, now));
+  std::optional<RetryGrant> grant = budget->Take(now, ExtraPart(node, now));
   if (!grant.has_value()) grant = Borrow(node, now);
   if (!grant.has_value()) return false;
   sent_.push_back({node, budget, *grant, arrives});
--- a/libs/relay/tests/support/budget_fleet.h
+++ b/libs/relay/tests/support/budget_fleet.h
@@ -59,7 +59,7 @@
   struct Sent {
     int node = 0;
     std::shared_ptr<ServiceRetryBudget> budget;
-    RepeatGrant grant;
+    RetryGrant grant;
     TimePoint arrives;
   };
 
@@ -73,7 +73,7 @@
   bool IsReached(int from, int to) const;
   void KeepLease(int node, TimePoint now);
   double ExtraPart(int node, TimePoint now);
-  std::optional<RepeatGrant> Borrow(int node, TimePoint now);
+  std::optional<RetryGrant> Borrow(int node, TimePoint now);
 
   RetryBudgetOptions options_;
   BudgetRule rule_;
--- a/libs/relay/tests/support/wire_samples.cc
+++ b/libs/relay/tests/support/wire_samples.cc
@@ -177,7 +177,7 @@
   return {{"fingerprint", FingerprintText(fingerprint)},
           {"backend_key", std::to_string(KeyOf("i-1", 1800000000000))},
           {"backend_key_without_start", std::to_string(KeyOf("i-1"))},
-          {"strike_counters", absl::StrJoin(StrikeCountersOf(kRequest, hosts), ",")},
+          {"strike_counters", absl::StrJoin(StrikeLedgerNodesOf(kRequest, hosts), ",")},
           {"coordinators", absl::StrJoin(peers.RankCoordinators("llm", 6, kSampleTime), ",")}};
 }
 
--- a/libs/retries/include/cartsail/retries/bucket_counts.h
+++ b/libs/retries/include/cartsail/retries/bucket_counts.h
@@ -23,9 +23,9 @@
 };
 
 // Gives Since() for buckets that only rise, each count being looked at once.
-class RisingSince {
+class SuffixSumCursor {
  public:
-  explicit RisingSince(const BucketCounts& counts)
+  explicit SuffixSumCursor(const BucketCounts& counts)
       : next_(counts.Counts().begin()),
         end_(counts.Counts().end()),
         since_(counts.Since(INT64_MIN)) {}
--- a/libs/retries/include/cartsail/retries/extra_right.h
+++ b/libs/retries/include/cartsail/retries/extra_budget_lease.h
@@ -9,9 +9,10 @@
 
 namespace cartsail {
 
-class ExtraRight {
+class ExtraBudgetLease {
  public:
-  explicit ExtraRight(const RetryBudgetOptions& options) : wait_(ExtraWait(options)) {}
+  explicit ExtraBudgetLease(const RetryBudgetOptions& options)
+      : wait_(ExtraHandoverDelay(options)) {}
 
   // The lease's token while this node holds it; to be told whenever it is asked for, and at least
   // once a lease.
--- a/libs/retries/include/cartsail/retries/retry_budget.h
+++ b/libs/retries/include/cartsail/retries/retry_budget.h
@@ -22,22 +22,22 @@
 };
 
 // For so long after the answer that lends it a repeat may be sent by the borrower.
-Duration LoanHolds(const RetryBudgetOptions& options);
+Duration LoanValidity(const RetryBudgetOptions& options);
 
 // After the lease on the extra has passed to a node, its former holder's repeats count for so long.
-Duration ExtraWait(const RetryBudgetOptions& options);
+Duration ExtraHandoverDelay(const RetryBudgetOptions& options);
 
-enum class RepeatSource : uint8_t {
+enum class RetrySource : uint8_t {
   kRequests,  // that came to this process
   kExtra,
   kLoan,  // of another node
 };
 
-std::string_view RepeatSourceName(RepeatSource source);
+std::string_view RetrySourceName(RetrySource source);
 
 // The right to send one repeat. It counts as if it arrived at any moment until it is closed.
-struct RepeatGrant {
-  RepeatSource source = RepeatSource::kRequests;
+struct RetryGrant {
+  RetrySource source = RetrySource::kRequests;
   TimePoint send_by = TimePoint::max();
 };
 
@@ -52,46 +52,46 @@
  public:
   explicit ServiceRetryBudget(RetryBudgetOptions options);
 
-  // A request came for the service, within kLateness of when its caller sent it.
+  // A request came for the service, within kMaxReadDelay of when its caller sent it.
   void NoteRequest(TimePoint received);
 
-  // Takes one repeat; nothing when none is left. `extra_part`: the part of the extra that this node
-  // may give out now.
-  std::optional<RepeatGrant> Take(TimePoint now, double extra_part);
+  // Takes one repeat; nothing when none is left. `extra_share`: the part of the extra that this
+  // node may give out now.
+  std::optional<RetryGrant> Take(TimePoint now, double extra_share);
 
-  // Takes one for another node, which sends it within LoanHolds().
-  bool Lend(TimePoint now, double extra_part);
+  // Takes one for another node, which sends it within LoanValidity().
+  bool Lend(TimePoint now, double extra_share);
 
   // Another node has lent one, which it was asked for at `asked`.
-  RepeatGrant TakeLoan(TimePoint asked);
+  RetryGrant TakeLoan(TimePoint asked);
 
   // The repeat has been sent, and reaches the back end by `arrives_by` at the latest.
-  void Close(const RepeatGrant& grant, TimePoint arrives_by);
+  void Close(const RetryGrant& grant, TimePoint arrives_by);
 
   // The repeat will not be sent.
-  void Cancel(const RepeatGrant& grant);
+  void Cancel(const RetryGrant& grant);
 
-  // Repeats that could be taken now.
-  double LeftOfRequests(TimePoint now) const;
-  double LeftOfExtra(TimePoint now, double extra_part) const;
+  // Retries that could be taken now.
+  double RemainingRequestBudget(TimePoint now) const;
+  double RemainingExtraBudget(TimePoint now, double extra_share) const;
 
  private:
-  // Repeats that may arrive in a window.
-  struct Repeats {
+  // Retries that may arrive in a window.
+  struct Retries {
     int64_t open = 0;    // they may arrive at any moment from now on
     TimeSeries arrived;  // the latest moment at which each of the others may have arrived
   };
 
   int64_t BucketAt(TimePoint time) const;
   void Forget(TimePoint now);
-  Repeats& Of(RepeatSource source);
+  Retries& RetriesOf(RetrySource source);
 
   RetryBudgetOptions options_;
   Duration bucket_width_;
   BucketCounts requests_;
-  Repeats of_requests_;  // and borrowed ones that arrive later than their lender counted on
-  Repeats of_extra_;
-  Repeats borrowed_;
+  Retries request_retries_;  // and borrowed ones that arrive later than their lender counted on
+  Retries extra_retries_;
+  Retries borrowed_retries_;
 };
 
 }  // namespace cartsail
--- a/libs/retries/include/cartsail/retries/stall_watch.h
+++ b/libs/retries/include/cartsail/retries/stall_detector.h
@@ -7,9 +7,9 @@
 namespace cartsail {
 
 // Requests are read within this time after their callers sent them, or do not count.
-inline constexpr Duration kLateness = milliseconds(500);
+inline constexpr Duration kMaxReadDelay = milliseconds(500);
 
-class StallWatch {
+class StallDetector {
  public:
   static constexpr Duration kInterval = milliseconds(100);  // between beats
 
--- a/libs/retries/src/bucket_counts.cc
+++ b/libs/retries/src/bucket_counts.cc
@@ -10,7 +10,7 @@
   return sum;
 }
 
-int64_t RisingSince::Since(int64_t bucket) {
+int64_t SuffixSumCursor::Since(int64_t bucket) {
   while (next_ != end_ && next_->first < bucket) {
     since_ -= next_->second;
     ++next_;
--- a/libs/retries/tests/retry_budget_test.cc
+++ b/libs/retries/tests/retry_budget_test.cc
@@ -21,15 +21,15 @@
 }
 
 // Repeats that arrive at once.
-bool Repeat(ServiceRetryBudget& budget, TimePoint now, double extra_part = kHoldsNoExtra) {
-  const std::optional<RepeatGrant> grant = budget.Take(now, extra_part);
+bool Repeat(ServiceRetryBudget& budget, TimePoint now, double extra_share = kHoldsNoExtra) {
+  const std::optional<RetryGrant> grant = budget.Take(now, extra_share);
   if (grant.has_value()) budget.Close(*grant, now);
   return grant.has_value();
 }
 
-int RepeatAll(ServiceRetryBudget& budget, TimePoint now, double extra_part = kHoldsNoExtra) {
+int RepeatAll(ServiceRetryBudget& budget, TimePoint now, double extra_share = kHoldsNoExtra) {
   int taken = 0;
-  while (Repeat(budget, now, extra_part)) ++taken;
+  while (Repeat(budget, now, extra_share)) ++taken;
   return taken;
 }
 
@@ -65,7 +65,7 @@
 
 Test(retry_budget, what_has_not_arrived_counts_whenever_it_was_granted) {
   ServiceRetryBudget budget(Options(10));
-  std::vector<RepeatGrant> open;
+  std::vector<RetryGrant> open;
   for (int i = 0; i < 10; ++i) open.push_back(*budget.Take(kStart, kHoldsExtra));
   const TimePoint later = kStart + seconds(25);
   cr_assert(!Repeat(budget, later, kHoldsExtra));
@@ -84,13 +84,13 @@
   int lent = 0;
   while (lender.Lend(kStart, kHoldsNoExtra)) ++lent;
   cr_assert(lent == 10);
-  const RepeatGrant in_time = borrower.TakeLoan(kStart);
+  const RetryGrant in_time = borrower.TakeLoan(kStart);
   borrower.Close(in_time, kStart + milliseconds(10));
-  cr_assert(borrower.LeftOfRequests(kStart) == 1);
-  const RepeatGrant late = borrower.TakeLoan(kStart);
-  cr_assert(borrower.LeftOfRequests(kStart) == 0, "it may arrive late");
+  cr_assert(borrower.RemainingRequestBudget(kStart) == 1);
+  const RetryGrant late = borrower.TakeLoan(kStart);
+  cr_assert(borrower.RemainingRequestBudget(kStart) == 0, "it may arrive late");
   borrower.Close(late, kStart + seconds(2));
-  cr_assert(borrower.LeftOfRequests(kStart) == 0);
+  cr_assert(borrower.RemainingRequestBudget(kStart) == 0);
 }
 
 // The promise over all nodes: in any window, repeats <= 0.2 x requests + extra, where the requests
@@ -109,8 +109,8 @@
         ServiceRetryBudget& node = nodes[index];
         node.NoteRequest(now);
         ++requests[static_cast<size_t>(tick)];
-        const double extra_part = index == 0 ? kHoldsExtra : kHoldsNoExtra;
-        if (random() % 2 == 0 && Repeat(node, now, extra_part)) {
+        const double extra_share = index == 0 ? kHoldsExtra : kHoldsNoExtra;
+        if (random() % 2 == 0 && Repeat(node, now, extra_share)) {
           ++repeats[static_cast<size_t>(tick)];
         }
       }
--- a/libs/streams/include/cartsail/streams/stream_record.h
+++ b/libs/streams/include/cartsail/streams/stream_record.h
@@ -28,14 +28,14 @@
 };
 
 // How long a stream may be taken up after its first event, at most.
-inline constexpr Duration kLongestStream = seconds(120);
+inline constexpr Duration kMaxResumeTime = seconds(120);
 
 // A version of which no engine was seen for so long has written no event of a stream that still
 // lives, nor will a node that has lost touch begin one there.
-inline constexpr Duration kVersionKept = std::chrono::minutes(20);
+inline constexpr Duration kVersionRetention = std::chrono::minutes(20);
 
 // A node that was told that a version is in the ledger begins streams there for so long: far less
 // than the version is kept.
-inline constexpr Duration kPermissionHolds = std::chrono::minutes(5);
+inline constexpr Duration kPermissionValidity = std::chrono::minutes(5);
 
 }  // namespace cartsail
--- a/libs/streams/include/cartsail/streams/stream_records.h
+++ b/libs/streams/include/cartsail/streams/stream_records.h
@@ -14,10 +14,10 @@
 class StreamRecords {
  public:
   // Some 120 bytes each.
-  static constexpr size_t kMost = 32768;
+  static constexpr size_t kMaxRecords = 32768;
 
   // Beyond `most` those that end first are forgotten.
-  explicit StreamRecords(size_t most = kMost) : most_(most) {}
+  explicit StreamRecords(size_t max_records = kMaxRecords) : max_records_(max_records) {}
 
   // A stream has one version: where two are told, none is known from then on.
   void Note(const std::string& service, const StreamRecord& record, TimePoint now);
@@ -55,7 +55,7 @@
 
   void Forget(std::multimap<TimePoint, StreamKey>::iterator end);
 
-  size_t most_;
+  size_t max_records_;
   std::unordered_map<StreamKey, Entry> entries_;
   std::multimap<TimePoint, StreamKey> ends_;
   std::vector<StreamKey> unconfirmed_;
--- a/libs/streams/include/cartsail/streams/version_history.h
+++ b/libs/streams/include/cartsail/streams/version_history.h
@@ -14,7 +14,7 @@
   // An engine is listed now. `version`: not empty.
   void NoteListed(const std::string& service, const std::string& version, TimePoint now);
 
-  // Versions of `service` that were listed within kVersionKept, in alphabetical order.
+  // Versions of `service` that were listed within kVersionRetention, in alphabetical order.
   std::vector<std::string> VersionsOf(const std::string& service, TimePoint now) const;
 
   bool IsMixed(const std::string& service, TimePoint now) const {
--- a/libs/streams/include/cartsail/streams/version_ledger.h
+++ b/libs/streams/include/cartsail/streams/version_ledger.h
@@ -35,13 +35,13 @@
 
 // What was read of the ledger after a stream had begun, and what else bears on whether it can be
 // trusted.
-struct LedgerReading {
+struct LedgerSnapshot {
   std::optional<VersionLedger> ledger;  // nothing: the store has none
   std::vector<std::string> listed;      // versions whose engines the reader has seen lately
   bool has_earlier_builds = false;      // nodes live that begin streams without asking the ledger
 };
 
 // The only version at which the stream can have begun; nothing: there may be another one.
-std::optional<std::string> OnlyVersion(const LedgerReading& reading);
+std::optional<std::string> OnlyVersion(const LedgerSnapshot& reading);
 
 }  // namespace cartsail
--- a/libs/streams/src/stream_records.cc
+++ b/libs/streams/src/stream_records.cc
@@ -5,7 +5,7 @@
 namespace cartsail {
 
 void StreamRecords::Note(const std::string& service, const StreamRecord& record, TimePoint now) {
-  const TimePoint until = std::min(record.until, now + kLongestStream);
+  const TimePoint until = std::min(record.until, now + kMaxResumeTime);
   const auto known = entries_.find(record.key);
   if (known != entries_.end()) {
     Entry& entry = known->second;
@@ -21,7 +21,7 @@
   entry.record.until = until;
   if (!record.is_confirmed) unconfirmed_.push_back(record.key);
   entries_.emplace(record.key, std::move(entry));
-  if (entries_.size() > most_) Forget(ends_.begin());
+  if (entries_.size() > max_records_) Forget(ends_.begin());
 }
 
 const StreamRecord* StreamRecords::Find(StreamKey key, TimePoint now) const {
--- a/libs/streams/src/version_history.cc
+++ b/libs/streams/src/version_history.cc
@@ -13,14 +13,15 @@
   const auto known = versions_.find(service);
   if (known == versions_.end()) return versions;
   for (const auto& [version, listed] : known->second) {
-    if (now - listed <= kVersionKept) versions.push_back(version);
+    if (now - listed <= kVersionRetention) versions.push_back(version);
   }
   return versions;
 }
 
 void VersionHistory::Expire(TimePoint now) {
   for (auto& [service, versions] : versions_) {
-    std::erase_if(versions, [now](const auto& entry) { return now - entry.second > kVersionKept; });
+    std::erase_if(versions,
+                  [now](const auto& entry) { return now - entry.second > kVersionRetention; });
   }
 }
 
--- a/libs/streams/src/version_ledger.cc
+++ b/libs/streams/src/version_ledger.cc
@@ -45,7 +45,7 @@
   return VersionLedger(std::move(versions));
 }
 
-std::optional<std::string> OnlyVersion(const LedgerReading& reading) {
+std::optional<std::string> OnlyVersion(const LedgerSnapshot& reading) {
   if (!reading.ledger.has_value() || reading.ledger->Versions().size() != 1) return std::nullopt;
   const std::string& version = reading.ledger->Versions().front();
   const auto is_other = [&version](const std::string& listed) { return listed != version; };
--- a/libs/streams/tests/stream_records_test.cc
+++ b/libs/streams/tests/stream_records_test.cc
@@ -46,7 +46,7 @@
   cr_assert(records.Find(2, kStart) == nullptr && records.Find(5, kStart) != nullptr);
   StreamRecords endless;
   endless.Note("s", RecordOf(1, "v1", std::chrono::hours(9)), kStart);
-  cr_assert(endless.Find(1, kStart + kLongestStream + seconds(1)) == nullptr);
+  cr_assert(endless.Find(1, kStart + kMaxResumeTime + seconds(1)) == nullptr);
 }
 
 Test(stream_records, are_confirmed_once_and_by_whoever_tells_so) {
@@ -85,11 +85,11 @@
   history.NoteListed("s", "v2", kStart + seconds(1));
   history.NoteListed("t", "v3", kStart + seconds(1));
   cr_assert(history.IsMixed("s", kStart + seconds(1)) && !history.IsMixed("t", kStart));
-  history.NoteListed("s", "v2", kStart + kVersionKept);
-  cr_assert(history.IsMixed("s", kStart + kVersionKept));
-  cr_assert(!history.IsMixed("s", kStart + kVersionKept + seconds(1)));
-  history.Expire(kStart + kVersionKept + seconds(1));
-  cr_assert(history.VersionsOf("s", kStart + kVersionKept).size() == 1);
+  history.NoteListed("s", "v2", kStart + kVersionRetention);
+  cr_assert(history.IsMixed("s", kStart + kVersionRetention));
+  cr_assert(!history.IsMixed("s", kStart + kVersionRetention + seconds(1)));
+  history.Expire(kStart + kVersionRetention + seconds(1));
+  cr_assert(history.VersionsOf("s", kStart + kVersionRetention).size() == 1);
 }
 
 // An engine ran v1, v2 and v1 again under one id: a stream of v2 was taken for one of v1.
