--- a/libs/dispatch/include/cartsail/dispatch/attempt_outcome.h
+++ b/libs/dispatch/include/cartsail/dispatch/attempt_outcome.h
@@ -47,6 +47,6 @@
 
 // True when the request may go to one more back end after `outcome`. Not for the time left or the
 // retry budget, which the caller checks.
-bool MayTryAgain(const RouteRule& route, AttemptOutcome outcome, const AttemptHistory& history);
+bool MayRetry(const RouteRule& route, AttemptOutcome outcome, const AttemptHistory& history);
 
 }  // namespace cartsail
--- a/libs/dispatch/include/cartsail/dispatch/backend_health.h
+++ b/libs/dispatch/include/cartsail/dispatch/backend_health.h
@@ -37,7 +37,7 @@
   RecentAttempts Recent(BackendKey backend, AttemptOrigin origin, TimePoint now) const;
 
   // Back ends at which some attempt of this node failed lately.
-  std::vector<BackendKey> FailingLately(TimePoint now) const;
+  std::vector<BackendKey> RecentlyFailing(TimePoint now) const;
 
   // How many times longer than expected it takes, at least 1. What was measured fades, as one that
   // is avoided for it is not measured again.
--- a/libs/dispatch/include/cartsail/dispatch/backend_notices.h
+++ b/libs/dispatch/include/cartsail/dispatch/backend_notices.h
@@ -52,9 +52,9 @@
   // `later`, which has started at `start`, has taken the place of `earlier` under the same id, as
   // this node hears now. What was read in answers after that start was said by `later`: three
   // requests of each of four nodes reached an engine that had asked them to back off before they
-  // had heard of its new start. What may have been said by either binds `later` for kLongestDoubt
-  // after it was read, leaving included.
-  void Succeed(BackendKey earlier, BackendKey later, std::chrono::milliseconds start);
+  // had heard of its new start. What may have been said by either binds `later` for
+  // kMaxAmbiguousHold after it was read, leaving included.
+  void CarryToSuccessor(BackendKey earlier, BackendKey later, std::chrono::milliseconds start);
 
   // It leaves, or was asked for a back-off that is not forgotten yet.
   bool Knows(BackendKey backend) const {
@@ -72,13 +72,13 @@
 
   // Leaving incarnations that are remembered: in a fleet of 3,400 back ends at 4,000 changes a day
   // those of a day, in 250 KB at most.
-  static constexpr size_t kMostLeaving = 4096;
+  static constexpr size_t kMaxLeavingRemembered = 4096;
 
   // By which the clocks of this node and a back end differ where none was set wrongly.
-  static constexpr std::chrono::milliseconds kMostClockSkew{5000};
+  static constexpr std::chrono::milliseconds kMaxClockSkew{5000};
   // A process that was wrongly taken for the one that said it is sent nothing by this node for so
   // long; one that did say it is asked once more then.
-  static constexpr Duration kLongestDoubt = seconds(10);
+  static constexpr Duration kMaxAmbiguousHold = seconds(10);
 
  private:
   struct Backoff {
--- a/libs/dispatch/include/cartsail/dispatch/backend_registry.h
+++ b/libs/dispatch/include/cartsail/dispatch/backend_registry.h
@@ -92,22 +92,22 @@
   }
 
   // What an answer of it said of the rate that it takes from all nodes together.
-  RateChange NoteRate(BackendKey backend, const RateWord& word) {
+  RateChange NoteRate(BackendKey backend, const RateNotice& word) {
     return limits_.Note(backend, word);
   }
   const RateLimits& Limits() const { return limits_; }
 
   // What an answer of it said of how many requests a second it bears to turn away.
-  RateChange NoteBrittle(BackendKey backend, const RateWord& word) {
+  RateChange NoteBrittle(BackendKey backend, const RateNotice& word) {
     return brittle_.Note(backend, word);
   }
   const RateLimits& Brittle() const { return brittle_; }
 
   // The latest words on back ends of `service`, `most` of them, to be told to other nodes.
-  std::vector<BackendRateWord> RateWordsOf(std::string_view service, size_t most,
-                                           TimePoint now) const;
-  std::vector<BackendRateWord> BrittleWordsOf(std::string_view service, size_t most,
-                                              TimePoint now) const;
+  std::vector<BackendRateNotice> RateNoticesOf(std::string_view service, size_t most,
+                                               TimePoint now) const;
+  std::vector<BackendRateNotice> BrittleNoticesOf(std::string_view service, size_t most,
+                                                  TimePoint now) const;
 
   // `asked`: an incarnation that has just answered, as this node knew it when it asked. Where
   // another one has taken its place since, what was said may be of that one, as with what was said
@@ -196,9 +196,9 @@
   bool IsService(const std::string& service) const;
   bool NoteChange(bool changed);
   bool IsNoticed(BackendKey key) const;
-  void Succeed(BackendKey earlier, const Backend& later);
-  std::vector<BackendRateWord> WordsOf(const RateLimits& limits, std::string_view service,
-                                       size_t most, TimePoint now) const;
+  void CarryToSuccessor(BackendKey earlier, const Backend& later);
+  std::vector<BackendRateNotice> WordsOf(const RateLimits& limits, std::string_view service,
+                                         size_t most, TimePoint now) const;
   void Identify(const Backend* known, Backend* backend);
   void Keep(Backend backend);
   void NoteDeparture(const Backend& backend);
--- a/libs/dispatch/include/cartsail/dispatch/cold_back_ends.h
+++ b/libs/dispatch/include/cartsail/dispatch/cold_back_ends.h
@@ -28,22 +28,22 @@
 
 std::string_view ColdReasonName(ColdReason reason);
 
-struct ColdSpell {
+struct ColdPeriod {
   ColdReason reason = ColdReason::kEntry;
   TimePoint until;
   // What it got before does not count: if it is cold, another process got it.
   TimePoint since = TimePoint::min();
-  bool is_to_be_asked = false;  // it has not told since it was lost how long it stays cold
+  bool needs_warmth_query = false;  // it has not told since it was lost how long it stays cold
 };
 
 struct ServiceWarmUp {
   Duration length{};
-  GrantAllowance allowance;   // of one node to one cold back end
-  bool tells_warmth = false;  // back ends can be asked how long they stay cold
+  GrantAllowance allowance;     // of one node to one cold back end
+  bool reports_warmth = false;  // back ends can be asked how long they stay cold
 };
 
 // What a back end that was asked how long it stays cold has told.
-struct WarmthAnswer {
+struct WarmthReport {
   Duration cold_left{};  // 0: it is warm
   TimePoint asked;       // when the question was sent
 };
@@ -62,27 +62,27 @@
   void NoteOutcome(const Backend& backend, AttemptOutcome outcome, TimePoint begun, TimePoint now);
 
   // As its entry and the drained zones tell, which all nodes hear.
-  std::optional<ColdSpell> ToldSpellOf(const Backend& backend, const ServiceWarmUp& rule,
-                                       const ZoneDrains& drains, TimePoint now) const;
+  std::optional<ColdPeriod> ReportedColdPeriodOf(const Backend& backend, const ServiceWarmUp& rule,
+                                                 const ZoneDrains& drains, TimePoint now) const;
 
   // The spell that ends last; nothing where the back end is warm.
-  std::optional<ColdSpell> SpellOf(const Backend& backend, const ServiceWarmUp& rule,
-                                   const ZoneDrains& drains, TimePoint now) const;
+  std::optional<ColdPeriod> ColdPeriodOf(const Backend& backend, const ServiceWarmUp& rule,
+                                         const ZoneDrains& drains, TimePoint now) const;
 
   bool HasLosses() const { return !losses_.empty(); }
 
   // Those that were lost, have not told since how long they stay cold, and were not asked just
   // before.
-  std::vector<BackendKey> ToBeAsked(TimePoint now) const;
+  std::vector<BackendKey> DueForWarmthQuery(TimePoint now) const;
 
   void NoteAsked(BackendKey backend, TimePoint now);
 
   // The same for one that can't be asked: a request is to go there, whose answer tells that it is
   // back.
-  bool IsToBeTried(const Backend& backend, TimePoint now) const;
+  bool IsDueForTrial(const Backend& backend, TimePoint now) const;
 
   // True when that ends or settles a spell after a loss: the question was sent after it.
-  bool NoteWarmth(BackendKey backend, const WarmthAnswer& answer, TimePoint now);
+  bool NoteWarmth(BackendKey backend, const WarmthReport& answer, TimePoint now);
 
   // Drops losses that no longer matter. To be called about once a second.
   void Expire(TimePoint now);
--- a/libs/dispatch/include/cartsail/dispatch/cold_limits.h
+++ b/libs/dispatch/include/cartsail/dispatch/cold_limits.h
@@ -8,6 +8,6 @@
 namespace cartsail {
 
 // Far above what any back end tells: who tells more is none, or is not believed.
-inline constexpr Duration kLongestColdSpell = std::chrono::hours(1);
+inline constexpr Duration kMaxColdPeriod = std::chrono::hours(1);
 
 }  // namespace cartsail
--- a/libs/dispatch/include/cartsail/dispatch/dispatcher.h
+++ b/libs/dispatch/include/cartsail/dispatch/dispatcher.h
@@ -18,16 +18,16 @@
 #include "cartsail/dispatch/backend_registry.h"
 #include "cartsail/dispatch/brittle_back_ends.h"
 #include "cartsail/dispatch/cold_back_ends.h"
+#include "cartsail/dispatch/grant_authority.h"
 #include "cartsail/dispatch/grant_limiter.h"
-#include "cartsail/dispatch/grant_right.h"
 #include "cartsail/dispatch/load_ledger.h"
 #include "cartsail/dispatch/pause_model.h"
 #include "cartsail/dispatch/placement.h"
 #include "cartsail/dispatch/placement_policy.h"
+#include "cartsail/dispatch/prefill_backlog.h"
 #include "cartsail/dispatch/prefix_directory.h"
-#include "cartsail/dispatch/reading_backlog.h"
 #include "cartsail/dispatch/request_profile.h"
-#include "cartsail/dispatch/return_schedule.h"
+#include "cartsail/dispatch/retry_schedule.h"
 #include "cartsail/dispatch/run_time.h"
 #include "cartsail/dispatch/service_pools.h"
 #include "cartsail/dispatch/stream_risk.h"
@@ -51,7 +51,7 @@
 // A cold back end of a service with a warm-up.
 struct ColdBackEnd {
   Backend backend;
-  ColdSpell spell;
+  ColdPeriod period;
 };
 
 class Dispatcher {
@@ -69,25 +69,25 @@
   std::optional<Placement> Place(const RequestProfile& profile,
                                  const std::vector<BackendKey>& tried, TimePoint now,
                                  std::vector<BackendKey> connected = {},
-                                 const GrantRight& right = {});
+                                 const GrantAuthority& right = {});
 
   // The same for another node's request.
   std::optional<Placement> PlaceFor(const Requester& requester, const RequestProfile& profile,
                                     const std::vector<BackendKey>& tried, TimePoint now,
-                                    const GrantRight& right = {});
+                                    const GrantAuthority& right = {});
 
   // Where only metered back ends are left, and none may get the request now: the time after which
   // its caller is to come back. Each call is one such caller.
   std::optional<Duration> MeteredWait(const RequestProfile& profile,
                                       const std::vector<BackendKey>& tried, TimePoint now,
-                                      const GrantRight& right);
+                                      const GrantAuthority& right);
 
   // This node's request, placed by `coordinator`, who knew the rate words on the back end that this
-  // node had read by `rate_words_known`. Nothing when the back end isn't ready as far as this node
-  // knows, or has asked it to back off, or is metered without the coordinator knowing it, or the
-  // request's data residency doesn't allow it.
+  // node had read by `rate_notices_known`. Nothing when the back end isn't ready as far as this
+  // node knows, or has asked it to back off, or is metered without the coordinator knowing it, or
+  // the request's data residency doesn't allow it.
   std::optional<Placement> Adopt(const std::string& coordinator, const PlacementGrant& grant,
-                                 const RequestProfile& profile, TimePoint rate_words_known,
+                                 const RequestProfile& profile, TimePoint rate_notices_known,
                                  TimePoint now);
 
   // Asked right before a request is sent: the back end has not begun to leave since it was chosen,
@@ -134,13 +134,13 @@
   void NoteHeld(BackendKey backend, const std::vector<PromptPart>& parts, TimePoint now);
 
   // The registry has changed: forgets what is kept of back ends that are gone.
-  void ForgetGone();
+  void ForgetRemovedBackends();
 
   // For all peers: this node's own requests, whoever placed them. Prefixes are told once.
   DispatchDigest TakeDigest(TimePoint now);
 
   // Prefixes that only one peer was told of: the next digest names them again.
-  void TellAgain(const std::vector<PrefixPlacement>& prefixes);
+  void RequeuePrefixes(const std::vector<PrefixPlacement>& prefixes);
 
   // The loads as `coordinator` is told them: without those that it placed and follows itself.
   std::vector<BackendLoadEntry> LoadsFor(const std::string& coordinator, TimePoint now) const;
@@ -177,13 +177,13 @@
 
   // Back ends of `service` that were lost and are to be asked now how long they stay cold, by a
   // node with the right to grant to cold ones; `most` of them. Each question counts as a request.
-  std::vector<Backend> TakeWarmthQuestions(const std::string& service, size_t most, TimePoint now);
+  std::vector<Backend> TakeWarmthQueries(const std::string& service, size_t most, TimePoint now);
 
   // Some may have to be asked.
   bool HasLostBackEnds() const { return cold_.HasLosses(); }
 
   // True when that ends or settles a spell after a loss.
-  bool NoteWarmth(BackendKey backend, const WarmthAnswer& answer, TimePoint now) {
+  bool NoteWarmth(BackendKey backend, const WarmthReport& answer, TimePoint now) {
     return cold_.NoteWarmth(backend, answer, now);
   }
 
@@ -193,7 +193,7 @@
  private:
   struct Running {
     BackendKey backend = 0;
-    double reading_ms = 0;
+    double prefill_ms = 0;
     bool is_light = false;
     bool is_generation = false;
     AttemptOrigin origin = AttemptOrigin::kOwn;
@@ -213,7 +213,7 @@
 
   struct Estimate {
     double loss = 0;  // expected, in requests
-    double reading_ms = 0;
+    double prefill_ms = 0;
     double first_output_ms = 0;
     int64_t held_tokens = 0;
     const Backend* fetch_from = nullptr;
@@ -224,8 +224,8 @@
   struct Candidate {
     const Backend* backend = nullptr;
     bool for_light = false;
-    int64_t held_tokens = 0;      // of the request's prompt
-    bool is_to_be_tried = false;  // chosen before all others, to learn whether it is back
+    int64_t held_tokens = 0;  // of the request's prompt
+    bool is_trial = false;    // chosen before all others, to learn whether it is back
   };
 
   // A back end that has read most of the prompt and can hand it over within its region, to those of
@@ -247,22 +247,23 @@
   };
 
   void RemoveMissing(TimePoint now);
-  std::vector<PoolMember> SomeOf(const ServicePool& pool, const Requester& requester,
-                                 const RequestProfile& profile, TimePoint now);
+  std::vector<PoolMember> SampleMembers(const ServicePool& pool, const Requester& requester,
+                                        const RequestProfile& profile, TimePoint now);
   PlacementView View(const Requester& requester, const RequestProfile& profile,
-                     const std::vector<BackendKey>& tried, TimePoint now, const GrantRight& right);
+                     const std::vector<BackendKey>& tried, TimePoint now,
+                     const GrantAuthority& right);
   PlacementView ViewOf(const std::vector<PoolMember>& members, const RequestProfile& profile,
                        const std::vector<BackendKey>& tried, TimePoint now,
-                       const GrantRight& right) const;
-  Duration WaitForCold(const Backend& backend, TimePoint now, const GrantRight& right) const;
-  Duration WaitForLimited(const Backend& backend, TimePoint now, const GrantRight& right) const;
-  Duration WaitForBrittle(const Backend& backend, TimePoint now, const GrantRight& right) const;
-  Duration WaitForMetered(const Backend& backend, TimePoint now, const GrantRight& right) const;
-  double LimitedRate(const Backend& backend, const GrantRight& right) const;
-  std::optional<ColdSpell> SpellOf(const Backend& backend, TimePoint now) const;
-  bool IsToldCold(const Backend& backend, TimePoint now) const;
+                       const GrantAuthority& right) const;
+  Duration WaitForCold(const Backend& backend, TimePoint now, const GrantAuthority& right) const;
+  Duration WaitForLimited(const Backend& backend, TimePoint now, const GrantAuthority& right) const;
+  Duration WaitForBrittle(const Backend& backend, TimePoint now, const GrantAuthority& right) const;
+  Duration WaitForMetered(const Backend& backend, TimePoint now, const GrantAuthority& right) const;
+  double LimitedRate(const Backend& backend, const GrantAuthority& right) const;
+  std::optional<ColdPeriod> ColdPeriodOf(const Backend& backend, TimePoint now) const;
+  bool IsReportedCold(const Backend& backend, TimePoint now) const;
   bool IsMetered(const Backend& backend, TimePoint now) const;
-  bool IsLimitedSince(BackendKey backend, TimePoint words_known) const;
+  bool HasLaterRateLimit(BackendKey backend, TimePoint words_known) const;
   void NoteMetered(Placement* placement, TimePoint now) const;
   void FindHolders(const RequestProfile& profile, const std::vector<PoolMember>& members,
                    const RegionSet& allowed, TimePoint now, PlacementView* view) const;
@@ -271,29 +272,29 @@
   Holder HolderFor(const Backend& backend, const PlacementView& view) const;
   std::optional<Placement> Choose(const Requester& requester, const RequestProfile& profile,
                                   const std::vector<BackendKey>& tried, TimePoint now,
-                                  const GrantRight& right);
+                                  const GrantAuthority& right);
   Estimate EstimatePrompt(const RequestProfile& profile, const Candidate& candidate,
                           const PlacementView& view) const;
   Estimate EstimateGeneration(const RequestProfile& profile, const Candidate& candidate,
                               const PlacementView& view, TimePoint now) const;
   Estimate EstimatePlain(const Candidate& candidate, const PlacementView& view,
                          TimePoint now) const;
-  double ReadingMillis(int64_t held_tokens, int64_t prompt_tokens) const;
+  double PrefillMillis(int64_t held_tokens, int64_t prompt_tokens) const;
   double WayLoss(const Backend& backend, const Requester& requester, TimePoint now) const;
   double BacklogMillis(BackendKey backend, TimePoint now) const;
   double SlownessOf(BackendKey backend, TimePoint now) const;
-  double BreakChance(BackendKey backend, double backlog_ms, double reading_ms,
+  double BreakChance(BackendKey backend, double backlog_ms, double prefill_ms,
                      Duration bound) const;
-  double LossOfStreams(const Backend& backend, double backlog_ms, double reading_ms) const;
+  double LossOfStreams(const Backend& backend, double backlog_ms, double prefill_ms) const;
   double OwnLateProbability(const RequestProfile& profile, const Backend& backend,
                             double first_output_ms, double backlog_ms, TimePoint now) const;
   double WaitForSlotMillis(const RequestProfile& profile, const Backend& backend,
                            const BackendLoad& load) const;
   double CrowdingLoss(const Backend& backend, const BackendLoad& load) const;
   double LossElsewhere(const RequestProfile& profile, const Candidate& candidate,
-                       double reading_ms) const;
+                       double prefill_ms) const;
   bool IsOff(Mechanism mechanism) const { return policy_.disabled.Has(mechanism); }
-  bool IsDisturbing(BackendKey backend, double reading_ms) const;
+  bool IsDisturbing(BackendKey backend, double prefill_ms) const;
   double FailureShareOf(BackendKey backend, TimePoint now) const;
   std::vector<BackendLoadEntry> OwnLoads(const std::string& without, TimePoint now) const;
   void AddFailing(std::vector<BackendLoadEntry>* loads, TimePoint now) const;
@@ -310,10 +311,10 @@
   ColdBackEnds cold_;
   GrantLimiter grants_;
   BrittleBackEnds brittle_;
-  std::unordered_map<std::string, ReturnSchedule> returns_;  // by service
+  std::unordered_map<std::string, RetrySchedule> returns_;  // by service
   PauseModel pauses_;
   StreamRisk risk_;
-  ReadingBacklog backlog_;
+  PrefillBacklog backlog_;
   RunTimes run_times_;
   LoadLedger loads_;
   PrefixDirectory prefixes_;
--- a/libs/dispatch/include/cartsail/dispatch/engine_partition.h
+++ b/libs/dispatch/include/cartsail/dispatch/engine_partition.h
@@ -28,8 +28,8 @@
  public:
   explicit WorkMeter(Duration window) : window_(window) {}
 
-  void Note(double reading_ms, TimePoint now);
-  double ReadingRate(TimePoint now) const;  // ms per second
+  void Note(double prefill_ms, TimePoint now);
+  double PrefillRate(TimePoint now) const;  // ms per second
 
  private:
   double DecayedTo(TimePoint now) const;
@@ -51,7 +51,7 @@
  public:
   explicit ServiceWorkView(Duration window) : window_(window) {}
 
-  void Note(std::string_view service, bool is_light, double reading_ms, TimePoint now);
+  void Note(std::string_view service, bool is_light, double prefill_ms, TimePoint now);
   // Replaces all that `node` told before; forgotten at `until`.
   void SetPeer(std::string_view node, const std::vector<ServiceWork>& work, TimePoint until);
 
@@ -77,14 +77,14 @@
 };
 
 struct PartitionPolicy {
-  double light_wanted = 0.25;      // reading time of an engine for light requests, as wished
-  double light_most = 0.4;         // and at most
-  double heavy_wanted = 0.4;       // reading time of an engine for heavy requests, as wished
+  double light_target_use = 0.25;  // reading time of an engine for light requests, as wished
+  double light_max_use = 0.4;      // and at most
+  double heavy_target_use = 0.4;   // reading time of an engine for heavy requests, as wished
   double light_slots = 0.4;        // share of an engine's slots for light requests, as wished
   double heavy_slots = 0.7;        // the same for heavy ones
   double streams_per_engine = 24;  // light requests on one engine, at most
-  double least_light_share = 0.2;  // of the engines
-  double most_light_share = 0.7;
+  double min_light_share = 0.2;    // of the engines
+  double max_light_share = 0.7;
 };
 
 // Engines wanted for light requests, of `engines`, as a fraction of an engine may be wanted.
--- a/libs/dispatch/include/cartsail/dispatch/grant_allowances.h
+++ b/libs/dispatch/include/cartsail/dispatch/grant_allowances.h
@@ -20,7 +20,7 @@
 // While coordinators take over from each other, or views of the fleet differ, so many nodes may
 // believe at once that they are the first one of a service: the one that was, one that took over
 // and was frozen, and the one that took over from it. Each uses that share of the bound at most.
-inline constexpr int kMostGrantingNodes = 3;
+inline constexpr int kMaxGrantingNodes = 3;
 
 // What is sent in one second was granted within its window.
 GrantAllowance AllowanceOfCold(const WarmUp& warm_up, const ColdBound& bound);
@@ -35,14 +35,14 @@
 };
 
 // Of the bound that one node uses. The rest is for what another one granted before a takeover.
-inline constexpr double kShareOfRateBound = 2.0 / 3;
+inline constexpr double kRateBoundShare = 2.0 / 3;
 
 // A back end that named less gets so many requests a second all the same: only its answers tell
 // that it takes more again.
-inline constexpr double kLeastGrantedRate = 0.25;
+inline constexpr double kMinGrantedRate = 0.25;
 
 // Grants are spread over the second in so many parts, so that a limited back end gets no bursts.
-inline constexpr double kPartsOfSecond = 4;
+inline constexpr double kPacingIntervalsPerSecond = 4;
 
 // What a node that may grant the part `share` (0 to 1) of what a back end takes grants in the long
 // run, in requests a second.
--- a/libs/dispatch/include/cartsail/dispatch/grant_right.h
+++ b/libs/dispatch/include/cartsail/dispatch/grant_authority.h
@@ -13,7 +13,7 @@
   int64_t known = 0;        // other hosts that it knows of, lost ones included
 };
 
-struct GrantRight {
+struct GrantAuthority {
   bool to_cold = false;
   double limited_share = 0;  // of the rate that a limited back end named; 0: it may grant nothing
 };
@@ -27,6 +27,6 @@
 // parts together use the rate once. A back end is cold for seconds, but may be limited for long:
 // with the majority alone a service whose back ends are all limited would be refused for the 5
 // minutes for which lost nodes are counted.
-GrantRight GrantRightOf(const FleetView& view);
+GrantAuthority GrantAuthorityOf(const FleetView& view);
 
 }  // namespace cartsail
--- a/libs/dispatch/include/cartsail/dispatch/grant_book.h
+++ b/libs/dispatch/include/cartsail/dispatch/grant_book.h
@@ -13,7 +13,7 @@
 
 namespace cartsail {
 
-using QuestionId = uint32_t;
+using PlacementQueryId = uint32_t;
 
 struct OutstandingGrant {
   PlacementTicket ticket = 0;
@@ -24,23 +24,23 @@
 class GrantBook {
  public:
   // nullptr when there is none: a question that comes twice gets the same grant.
-  const OutstandingGrant* Find(const std::string& node, QuestionId question) const;
+  const OutstandingGrant* Find(const std::string& node, PlacementQueryId question) const;
 
-  void Add(const std::string& node, QuestionId question, const OutstandingGrant& grant);
+  void Add(const std::string& node, PlacementQueryId question, const OutstandingGrant& grant);
 
   // The request has ended.
-  std::optional<PlacementTicket> Take(const std::string& node, QuestionId question);
+  std::optional<PlacementTicket> Take(const std::string& node, PlacementQueryId question);
 
   // `node` tells all its requests that have not ended. Returns those that ended without its word
   // having come; grants younger than `kGraceForNew` are kept, since they may have crossed the list.
   std::vector<PlacementTicket> Reconcile(const std::string& node,
-                                         const std::vector<QuestionId>& live, TimePoint now);
+                                         const std::vector<PlacementQueryId>& live, TimePoint now);
 
   // Something came from `node`.
   void Heard(const std::string& node, TimePoint now);
 
   // Takes out all of nodes that have not been heard for `kSilence`.
-  std::vector<PlacementTicket> TakeSilent(TimePoint now);
+  std::vector<PlacementTicket> TakeFromSilentNodes(TimePoint now);
 
   size_t Size() const;
 
@@ -50,7 +50,7 @@
  private:
   struct NodeGrants {
     TimePoint heard;
-    std::map<QuestionId, OutstandingGrant> grants;
+    std::map<PlacementQueryId, OutstandingGrant> grants;
   };
 
   std::map<std::string, NodeGrants> nodes_;
--- a/libs/dispatch/include/cartsail/dispatch/grant_limiter.h
+++ b/libs/dispatch/include/cartsail/dispatch/grant_limiter.h
@@ -14,7 +14,7 @@
 // A request is sent to a metered back end within this time from its grant, or not at all: a node
 // that was frozen with grants must not send all of them at once when it goes on. A new connection
 // takes some milliseconds.
-inline constexpr Duration kGrantHolds = milliseconds(250);
+inline constexpr Duration kGrantLifetime = milliseconds(250);
 
 // At most so many grants within any span of `window`.
 struct GrantAllowance {
@@ -28,7 +28,7 @@
 class GrantLimiter {
  public:
   // Of allowances of more than one grant; longer ones are not kept to.
-  static constexpr Duration kLongestWindow = seconds(4) + kGrantHolds;
+  static constexpr Duration kLongestWindow = seconds(4) + kGrantLifetime;
   // The newest grant is remembered for so long, for allowances of one.
   static constexpr Duration kLongestPause = seconds(60);
 
--- a/libs/dispatch/include/cartsail/dispatch/load_ledger.h
+++ b/libs/dispatch/include/cartsail/dispatch/load_ledger.h
@@ -15,7 +15,7 @@
 
 // Requests at one back end that have not ended, and how those of the last seconds ended.
 struct BackendLoad {
-  double reading_ms = 0;       // expected time to read the prompts that wait for their first output
+  double prefill_ms = 0;       // expected time to read the prompts that wait for their first output
   int64_t requests = 0;        // all
   int64_t light_requests = 0;  // of these, those that disturb no stream (engine_partition.h)
   double attempts = 0;         // of the last seconds, fading
@@ -33,8 +33,8 @@
 
 class LoadLedger {
  public:
-  void Begin(BackendKey backend, double reading_ms, bool is_light);
-  void FirstOutput(BackendKey backend, double reading_ms);
+  void Begin(BackendKey backend, double prefill_ms, bool is_light);
+  void FirstOutput(BackendKey backend, double prefill_ms);
   void End(BackendKey backend, bool is_light);
 
   // Replaces all that `node` told before; forgotten at `until`.
--- a/libs/dispatch/include/cartsail/dispatch/pause_model.h
+++ b/libs/dispatch/include/cartsail/dispatch/pause_model.h
@@ -52,9 +52,9 @@
   // The chance, 0 to 1, that the longest pause is then over `bound`.
   double BreakProbability(BackendKey backend, double backlog_ms, Duration bound) const;
 
-  // The chance that `reading_ms` more puts a stream beyond `bound` which the backlog alone would
+  // The chance that `prefill_ms` more puts a stream beyond `bound` which the backlog alone would
   // not.
-  double AddedBreakProbability(BackendKey backend, double backlog_ms, double reading_ms,
+  double AddedBreakProbability(BackendKey backend, double backlog_ms, double prefill_ms,
                                Duration bound) const;
 
   // Forgets all engines but those that `is_known` holds.
--- a/libs/dispatch/include/cartsail/dispatch/placement.h
+++ b/libs/dispatch/include/cartsail/dispatch/placement.h
@@ -22,7 +22,7 @@
   BackendKey fetch_prefix_key = 0;  // the same engine; 0: none
   std::string placed_by;            // the node that chose; empty: this one
   double expected_loss = 0;         // by which it was chosen, in requests that miss their goal
-  double reading_ms = 0;            // expected time to read the prompt
+  double prefill_ms = 0;            // expected time to read the prompt
   double first_output_ms = 0;       // expected time to the first output
   int64_t held_tokens = 0;
   int64_t candidates = 0;
@@ -30,7 +30,7 @@
   // The back end is metered: the request is sent until then or not at all.
   std::optional<TimePoint> send_by;
   // Whoever chose knew the rate words on the back end that this node had read by then.
-  TimePoint rate_words_known{};
+  TimePoint rate_notices_known{};
 };
 
 // The same in a message: back ends are named by their keys.
@@ -38,7 +38,7 @@
   BackendKey backend = 0;
   BackendKey fetch_prefix_from = 0;  // 0: none
   double expected_loss = 0;
-  double reading_ms = 0;
+  double prefill_ms = 0;
   double first_output_ms = 0;
   int64_t held_tokens = 0;
   int64_t candidates = 0;
@@ -54,7 +54,7 @@
 };
 
 // What the request may go on with is written by the back end's version, or by any.
-inline bool SuitsVersion(const RequestProfile& profile, const Backend& backend) {
+inline bool MatchesVersion(const RequestProfile& profile, const Backend& backend) {
   return profile.version.empty() || profile.version == backend.version;
 }
 
--- a/libs/dispatch/include/cartsail/dispatch/reading_backlog.h
+++ b/libs/dispatch/include/cartsail/dispatch/prefill_backlog.h
@@ -15,20 +15,20 @@
 
 namespace cartsail {
 
-class ReadingBacklog {
+class PrefillBacklog {
  public:
-  // A prompt that takes `reading_ms` to read was placed.
-  void Add(BackendKey backend, double reading_ms, TimePoint now);
+  // A prompt that takes `prefill_ms` to read was placed.
+  void Add(BackendKey backend, double prefill_ms, TimePoint now);
 
   // It has been read, or its request has ended.
-  void Remove(BackendKey backend, double reading_ms, TimePoint now);
+  void Remove(BackendKey backend, double prefill_ms, TimePoint now);
 
   // Reading left, in milliseconds.
   double Millis(BackendKey backend, TimePoint now) const;
 
   // The most that was left at one moment since `since` and was read by `until`, as far as is
   // remembered.
-  double MostMillisBetween(BackendKey backend, TimePoint since, TimePoint until) const;
+  double PeakMillisBetween(BackendKey backend, TimePoint since, TimePoint until) const;
 
   // Forgets all engines but those that `is_known` holds.
   void ForgetUnless(const std::function<bool(BackendKey backend)>& is_known);
--- a/libs/dispatch/include/cartsail/dispatch/return_schedule.h
+++ b/libs/dispatch/include/cartsail/dispatch/retry_schedule.h
@@ -7,7 +7,7 @@
 
 namespace cartsail {
 
-class ReturnSchedule {
+class RetrySchedule {
  public:
   // No caller is told more: by then back ends may take any rate again.
   static constexpr Duration kLongest = seconds(10);
--- a/libs/dispatch/include/cartsail/dispatch/service_pools.h
+++ b/libs/dispatch/include/cartsail/dispatch/service_pools.h
@@ -56,7 +56,7 @@
   const ServicePool& Of(const std::string& service, const Inputs& inputs, TimePoint now);
 
   // Back ends that were looked at to make pools.
-  int64_t Looked() const { return looked_; }
+  int64_t ExaminedBackends() const { return looked_; }
 
  private:
   // All nodes agree on the order: by the hash of the id.
--- a/libs/dispatch/src/attempt_outcome.cc
+++ b/libs/dispatch/src/attempt_outcome.cc
@@ -53,7 +53,7 @@
          outcome == AttemptOutcome::kNoPath;
 }
 
-bool MayTryAgain(const RouteRule& route, AttemptOutcome outcome, const AttemptHistory& history) {
+bool MayRetry(const RouteRule& route, AttemptOutcome outcome, const AttemptHistory& history) {
   if (outcome == AttemptOutcome::kAnswered || outcome == AttemptOutcome::kTimedOut ||
       outcome == AttemptOutcome::kCallerGone || outcome == AttemptOutcome::kGivenUp) {
     return false;
--- a/libs/dispatch/src/backend_health.cc
+++ b/libs/dispatch/src/backend_health.cc
@@ -89,7 +89,7 @@
   return {attempts.recent.attempts * fading, attempts.recent.failures * fading};
 }
 
-std::vector<BackendKey> BackendHealth::FailingLately(TimePoint now) const {
+std::vector<BackendKey> BackendHealth::RecentlyFailing(TimePoint now) const {
   std::vector<BackendKey> failing;
   for (const auto& [backend, record] : records_) {
     const RecentAttempts recent = Recent(backend, AttemptOrigin::kOwn, now);
--- a/libs/dispatch/src/backend_notices.cc
+++ b/libs/dispatch/src/backend_notices.cc
@@ -7,7 +7,7 @@
 bool BackendNotices::NoteLeaving(BackendKey backend, const NoticeTime& told) {
   if (!leaving_.emplace(backend, told).second) return false;
   leaving_order_.push_back(backend);
-  if (leaving_order_.size() > kMostLeaving) {
+  if (leaving_order_.size() > kMaxLeavingRemembered) {
     leaving_.erase(leaving_order_.front());
     leaving_order_.pop_front();
   }
@@ -26,9 +26,9 @@
 // Until when it binds a process that has started at `start`; long past where it does not.
 TimePoint BackendNotices::EndFor(const Backoff& backoff, std::chrono::milliseconds start) {
   const std::chrono::milliseconds told = backoff.told.wall;
-  if (told + kMostClockSkew < start) return TimePoint{};
-  if (told >= start + kMostClockSkew) return backoff.until;
-  return std::min(backoff.until, backoff.told.at + kLongestDoubt);
+  if (told + kMaxClockSkew < start) return TimePoint{};
+  if (told >= start + kMaxClockSkew) return backoff.until;
+  return std::min(backoff.until, backoff.told.at + kMaxAmbiguousHold);
 }
 
 void BackendNotices::Carry(BackendKey to, const Backoff& backoff, std::chrono::milliseconds start) {
@@ -39,8 +39,8 @@
   if (until >= known.longest.until) known.longest = known.latest;
 }
 
-void BackendNotices::Succeed(BackendKey earlier, BackendKey later,
-                             std::chrono::milliseconds start) {
+void BackendNotices::CarryToSuccessor(BackendKey earlier, BackendKey later,
+                                      std::chrono::milliseconds start) {
   const auto entry = backoffs_.find(earlier);
   if (entry != backoffs_.end()) {
     const Backoffs backoffs = entry->second;
@@ -52,7 +52,7 @@
   // Never for good: a node whose clock was set ahead by an hour would take every engine that left
   // and started again within that hour for a leaving one, and tell all nodes so.
   const NoticeTime told = leaving->second;
-  Carry(later, {told.at + kLongestDoubt, told}, start);
+  Carry(later, {told.at + kMaxAmbiguousHold, told}, start);
 }
 
 std::optional<Duration> BackendNotices::BackoffLeft(BackendKey backend, TimePoint now) const {
--- a/libs/dispatch/src/backend_registry.cc
+++ b/libs/dispatch/src/backend_registry.cc
@@ -41,16 +41,16 @@
   return key;
 }
 
-void BackendRegistry::Succeed(BackendKey earlier, const Backend& later) {
+void BackendRegistry::CarryToSuccessor(BackendKey earlier, const Backend& later) {
   const milliseconds start(later.started_ms);
-  notices_.Succeed(earlier, later.key, start);
-  limits_.Succeed(earlier, later.key, start);
-  brittle_.Succeed(earlier, later.key, start);
+  notices_.CarryToSuccessor(earlier, later.key, start);
+  limits_.CarryToSuccessor(earlier, later.key, start);
+  brittle_.CarryToSuccessor(earlier, later.key, start);
 }
 
 void BackendRegistry::NoteSuccessor(const Backend& asked) {
   const Backend* current = Find(asked.id);
-  if (current != nullptr && current->key != asked.key) Succeed(asked.key, *current);
+  if (current != nullptr && current->key != asked.key) CarryToSuccessor(asked.key, *current);
 }
 
 // `known`: the entry under the id before; or nullptr.
@@ -58,7 +58,7 @@
   backend->key = KeyOf(backend->id, backend->started_ms);
   const std::optional<BackendKey> earlier = EarlierOf(known, *backend);
   if (earlier.has_value() && *earlier != backend->key) {
-    Succeed(*earlier, *backend);
+    CarryToSuccessor(*earlier, *backend);
   }
   backend->region = regions_.IndexOfZone(backend->zone);
   if (backend->state == BackendState::kLeaving) notices_.NoteLeaving(backend->key);
@@ -163,19 +163,19 @@
   std::erase_if(departed_, [this](const auto& entry) { return !IsNoticed(entry.second); });
 }
 
-std::vector<BackendRateWord> BackendRegistry::RateWordsOf(std::string_view service, size_t most,
-                                                          TimePoint now) const {
+std::vector<BackendRateNotice> BackendRegistry::RateNoticesOf(std::string_view service, size_t most,
+                                                              TimePoint now) const {
   return WordsOf(limits_, service, most, now);
 }
 
-std::vector<BackendRateWord> BackendRegistry::BrittleWordsOf(std::string_view service, size_t most,
-                                                             TimePoint now) const {
+std::vector<BackendRateNotice> BackendRegistry::BrittleNoticesOf(std::string_view service,
+                                                                 size_t most, TimePoint now) const {
   return WordsOf(brittle_, service, most, now);
 }
 
-std::vector<BackendRateWord> BackendRegistry::WordsOf(const RateLimits& limits,
-                                                      std::string_view service, size_t most,
-                                                      TimePoint now) const {
+std::vector<BackendRateNotice> BackendRegistry::WordsOf(const RateLimits& limits,
+                                                        std::string_view service, size_t most,
+                                                        TimePoint now) const {
   const auto is_of_service = [this, service](BackendKey key) {
     const Backend* backend = FindByKey(key);
     return backend != nullptr && backend->service == service;
--- a/libs/dispatch/src/brittle_back_ends.cc
+++ b/libs/dispatch/src/brittle_back_ends.cc
@@ -12,7 +12,7 @@
 // Of what it bears. The rest is for what another node granted before a takeover.
 constexpr double kShareOfBorne = 0.5;
 // What is sent in one second was granted within this time.
-constexpr Duration kWindow = seconds(1) + kGrantHolds;
+constexpr Duration kWindow = seconds(1) + kGrantLifetime;
 
 }  // namespace
 
--- a/libs/dispatch/src/cold_back_ends.cc
+++ b/libs/dispatch/src/cold_back_ends.cc
@@ -29,7 +29,7 @@
          outcome == AttemptOutcome::kRefused;
 }
 
-void TakeLater(const ColdSpell& spell, TimePoint now, std::optional<ColdSpell>* last) {
+void TakeLater(const ColdPeriod& spell, TimePoint now, std::optional<ColdPeriod>* last) {
   if (spell.until <= now) return;
   if (!last->has_value() || spell.until > (*last)->until) *last = spell;
 }
@@ -101,10 +101,11 @@
   loss->second.warm = now + rule->length;
 }
 
-std::optional<ColdSpell> ColdBackEnds::ToldSpellOf(const Backend& backend,
-                                                   const ServiceWarmUp& rule,
-                                                   const ZoneDrains& drains, TimePoint now) const {
-  std::optional<ColdSpell> last;
+std::optional<ColdPeriod> ColdBackEnds::ReportedColdPeriodOf(const Backend& backend,
+                                                             const ServiceWarmUp& rule,
+                                                             const ZoneDrains& drains,
+                                                             TimePoint now) const {
+  std::optional<ColdPeriod> last;
   if (backend.cold_until.has_value()) {
     TakeLater({ColdReason::kEntry, *backend.cold_until}, now, &last);
   }
@@ -115,19 +116,21 @@
   return last;
 }
 
-std::optional<ColdSpell> ColdBackEnds::SpellOf(const Backend& backend, const ServiceWarmUp& rule,
-                                               const ZoneDrains& drains, TimePoint now) const {
-  std::optional<ColdSpell> last = ToldSpellOf(backend, rule, drains, now);
+std::optional<ColdPeriod> ColdBackEnds::ColdPeriodOf(const Backend& backend,
+                                                     const ServiceWarmUp& rule,
+                                                     const ZoneDrains& drains,
+                                                     TimePoint now) const {
+  std::optional<ColdPeriod> last = ReportedColdPeriodOf(backend, rule, drains, now);
   const auto loss = losses_.find(backend.key);
   if (loss != losses_.end()) {
-    const bool is_to_be_asked = rule.tells_warmth && !loss->second.told;
-    TakeLater({ColdReason::kLost, loss->second.warm, loss->second.lost, is_to_be_asked}, now,
+    const bool needs_warmth_query = rule.reports_warmth && !loss->second.told;
+    TakeLater({ColdReason::kLost, loss->second.warm, loss->second.lost, needs_warmth_query}, now,
               &last);
   }
   return last;
 }
 
-std::vector<BackendKey> ColdBackEnds::ToBeAsked(TimePoint now) const {
+std::vector<BackendKey> ColdBackEnds::DueForWarmthQuery(TimePoint now) const {
   std::vector<BackendKey> due;
   for (const auto& [backend, loss] : losses_) {
     if (!loss.told && loss.warm > now && now >= loss.next_question) due.push_back(backend);
@@ -135,11 +138,11 @@
   return due;
 }
 
-bool ColdBackEnds::IsToBeTried(const Backend& backend, TimePoint now) const {
+bool ColdBackEnds::IsDueForTrial(const Backend& backend, TimePoint now) const {
   const auto loss = losses_.find(backend.key);
   if (loss == losses_.end() || loss->second.answered || loss->second.told) return false;
   const ServiceWarmUp* rule = RuleOf(backend.service);
-  return rule != nullptr && !rule->tells_warmth && now >= loss->second.next_question;
+  return rule != nullptr && !rule->reports_warmth && now >= loss->second.next_question;
 }
 
 void ColdBackEnds::NoteAsked(BackendKey backend, TimePoint now) {
@@ -148,7 +151,7 @@
   loss->second.next_question = now + PauseAfter(++loss->second.questions);
 }
 
-bool ColdBackEnds::NoteWarmth(BackendKey backend, const WarmthAnswer& answer, TimePoint now) {
+bool ColdBackEnds::NoteWarmth(BackendKey backend, const WarmthReport& answer, TimePoint now) {
   const auto loss = losses_.find(backend);
   // What was asked before it was lost may have been told by the process before.
   if (loss == losses_.end() || answer.asked <= loss->second.lost) return false;
--- a/libs/dispatch/src/dispatcher.cc
+++ b/libs/dispatch/src/dispatcher.cc
@@ -24,7 +24,7 @@
 std::optional<Placement> Dispatcher::Place(const RequestProfile& profile,
                                            const std::vector<BackendKey>& tried, TimePoint now,
                                            std::vector<BackendKey> connected,
-                                           const GrantRight& right) {
+                                           const GrantAuthority& right) {
   std::optional<Placement> placement = Choose({"", zone_, std::move(connected)}, profile,
                                               ExcludedFor(profile, tried, now), now, right);
   if (placement.has_value()) Begin(profile, AttemptOrigin::kOwn, &*placement, now);
@@ -34,7 +34,7 @@
 std::optional<Placement> Dispatcher::PlaceFor(const Requester& requester,
                                               const RequestProfile& profile,
                                               const std::vector<BackendKey>& tried, TimePoint now,
-                                              const GrantRight& right) {
+                                              const GrantAuthority& right) {
   std::optional<Placement> placement = Choose(requester, profile, tried, now, right);
   if (placement.has_value()) Begin(profile, AttemptOrigin::kPeer, &*placement, now);
   return placement;
@@ -43,7 +43,7 @@
 std::optional<Placement> Dispatcher::Adopt(const std::string& coordinator,
                                            const PlacementGrant& grant,
                                            const RequestProfile& profile,
-                                           TimePoint rate_words_known, TimePoint now) {
+                                           TimePoint rate_notices_known, TimePoint now) {
   const Backend* backend = registry_.FindByKey(grant.backend);
   if (backend == nullptr) return std::nullopt;
   // The coordinator may have another document in force.
@@ -51,12 +51,12 @@
   if (!registry_.MayReceive(*backend, allowed, now)) return std::nullopt;
   if (backend->service != profile.service) return std::nullopt;
   // Coordinators of earlier builds place at any version.
-  if (!SuitsVersion(profile, *backend)) return std::nullopt;
+  if (!MatchesVersion(profile, *backend)) return std::nullopt;
   const bool is_unknown_there =
-      IsToldCold(*backend, now) || IsLimitedSince(backend->key, rate_words_known);
+      IsReportedCold(*backend, now) || HasLaterRateLimit(backend->key, rate_notices_known);
   if (!grant.is_metered && is_unknown_there) return std::nullopt;
   Placement placement;
-  placement.rate_words_known = rate_words_known;
+  placement.rate_notices_known = rate_notices_known;
   placement.backend = *backend;
   placement.placed_by = coordinator;
   const Backend* holder = registry_.FindByKey(grant.fetch_prefix_from);
@@ -65,7 +65,7 @@
     placement.fetch_prefix_key = holder->key;
   }
   placement.expected_loss = grant.expected_loss;
-  placement.reading_ms = grant.reading_ms;
+  placement.prefill_ms = grant.prefill_ms;
   placement.first_output_ms = grant.first_output_ms;
   placement.held_tokens = grant.held_tokens;
   placement.candidates = grant.candidates;
@@ -77,7 +77,7 @@
 bool Dispatcher::MayReceive(BackendKey backend, const RequestProfile& profile,
                             TimePoint now) const {
   const Backend* known = registry_.FindByKey(backend);
-  if (known == nullptr || !SuitsVersion(profile, *known)) return false;
+  if (known == nullptr || !MatchesVersion(profile, *known)) return false;
   return registry_.MayReceive(*known, registry_.Regions().AllowedFor(profile), now);
 }
 
@@ -110,7 +110,7 @@
   for (const PoolMember& member : pools_.Of(profile.service, inputs, now).Members()) {
     const Backend* backend = registry_.FindOpen(member.key);
     if (backend == nullptr || !allowed.Allows(backend->region)) continue;
-    if (!SuitsVersion(profile, *backend)) continue;
+    if (!MatchesVersion(profile, *backend)) continue;
     const std::optional<Duration> left = registry_.BackoffLeft(member.key, now);
     some_free = some_free || !left.has_value();
     if (left.has_value()) backoffs.shortest = std::min(backoffs.shortest.value_or(*left), *left);
@@ -125,7 +125,8 @@
   const std::vector<PoolMember>& members = pools_.Of(profile.service, inputs, now).Members();
   const auto is_allowed = [this, &allowed, &profile](const PoolMember& member) {
     const Backend* backend = registry_.FindOpen(member.key);
-    return backend != nullptr && allowed.Allows(backend->region) && SuitsVersion(profile, *backend);
+    return backend != nullptr && allowed.Allows(backend->region) &&
+           MatchesVersion(profile, *backend);
   };
   return static_cast<size_t>(std::count_if(members.begin(), members.end(), is_allowed));
 }
@@ -136,10 +137,10 @@
   grants_.NoteGrant(placement->backend.key, now);
   Running running;
   running.backend = placement->backend.key;
-  running.reading_ms = placement->reading_ms;
+  running.prefill_ms = placement->prefill_ms;
   running.is_light =
       profile.is_generation &&
-      !IsDisturbing(running.backend, running.reading_ms * SlownessOf(running.backend, now));
+      !IsDisturbing(running.backend, running.prefill_ms * SlownessOf(running.backend, now));
   running.is_generation = profile.is_generation;
   running.origin = origin;
   running.placed_by = placement->placed_by;
@@ -147,10 +148,10 @@
   running.expected_ms = placement->first_output_ms;
   running.service = profile.service;
   if (profile.is_generation) BeginPrompt(profile, &running, now);
-  loads_.Begin(running.backend, running.reading_ms, running.is_light);
+  loads_.Begin(running.backend, running.prefill_ms, running.is_light);
   // Peers tell of their own work in digests.
   if (profile.is_generation && origin == AttemptOrigin::kOwn) {
-    work_.Note(profile.service, running.is_light, running.reading_ms, now);
+    work_.Note(profile.service, running.is_light, running.prefill_ms, now);
   }
   NotePrefixes(profile, running.backend, origin, now);
   for (size_t i = 0; i + 1 < profile.prompt_parts.size(); ++i) {
@@ -163,7 +164,7 @@
 void Dispatcher::BeginPrompt(const RequestProfile& profile, Running* running, TimePoint now) {
   const BackendKey backend = running->backend;
   const double before_ms = BacklogMillis(backend, now);
-  running->backlog_ms = running->reading_ms * SlownessOf(backend, now);
+  running->backlog_ms = running->prefill_ms * SlownessOf(backend, now);
   backlog_.Add(backend, running->backlog_ms, now);
   for (const Duration bound : risk_.Bounds()) {
     const double chance = BreakChance(backend, before_ms, running->backlog_ms, bound);
@@ -198,7 +199,7 @@
   running.first_output = now;
   backlog_.Remove(running.backend, running.backlog_ms, now);
   for (const uint64_t part : running.shared_parts) prefixes_.NoteRead(part, running.backend);
-  loads_.FirstOutput(running.backend, running.reading_ms);
+  loads_.FirstOutput(running.backend, running.prefill_ms);
   const Backend* known = registry_.FindByKey(running.backend);
   if (known != nullptr) cold_.NoteOutcome(*known, AttemptOutcome::kAnswered, running.begun, now);
   health_.NotePace(running.backend, ToMillis(now - running.begun) / running.expected_ms, now);
@@ -222,7 +223,7 @@
   if (entry == running_.end()) return;
   const Running& running = entry->second;
   if (!running.is_generation || running.outputs == 0) return;
-  const double backlog_ms = backlog_.MostMillisBetween(running.backend, running.first_output, now);
+  const double backlog_ms = backlog_.PeakMillisBetween(running.backend, running.first_output, now);
   pauses_.Note(running.backend, pauses, backlog_ms);
 }
 
@@ -231,7 +232,7 @@
   if (entry == running_.end()) return;
   const Running& running = entry->second;
   if (running.outputs == 0) {
-    loads_.FirstOutput(running.backend, running.reading_ms);
+    loads_.FirstOutput(running.backend, running.prefill_ms);
     backlog_.Remove(running.backend, running.backlog_ms, now);
   }
   risk_.End(running.backend, running.risk);
@@ -268,7 +269,7 @@
 }
 
 void Dispatcher::RemoveMissing(TimePoint now) {
-  if (registry_.RemoveMissing(now)) ForgetGone();
+  if (registry_.RemoveMissing(now)) ForgetRemovedBackends();
 }
 
 void Dispatcher::Tick(TimePoint now) {
@@ -280,7 +281,7 @@
   RemoveMissing(now);
 }
 
-void Dispatcher::ForgetGone() {
+void Dispatcher::ForgetRemovedBackends() {
   const auto is_known = [this](BackendKey backend) {
     return registry_.FindByKey(backend) != nullptr;
   };
@@ -293,7 +294,7 @@
 
 // Back ends without requests of this node are told of when they failed lately.
 void Dispatcher::AddFailing(std::vector<BackendLoadEntry>* loads, TimePoint now) const {
-  for (const BackendKey key : health_.FailingLately(now)) {
+  for (const BackendKey key : health_.RecentlyFailing(now)) {
     const auto is_there = [key](const BackendLoadEntry& entry) { return entry.backend == key; };
     if (std::any_of(loads->begin(), loads->end(), is_there)) continue;
     BackendLoadEntry entry;
@@ -311,7 +312,7 @@
     BackendLoad& sum = sums[running.backend];
     ++sum.requests;
     sum.light_requests += running.is_light ? 1 : 0;
-    sum.reading_ms += running.outputs == 0 ? running.reading_ms : 0;
+    sum.prefill_ms += running.outputs == 0 ? running.prefill_ms : 0;
   }
   std::vector<BackendLoadEntry> loads;
   loads.reserve(sums.size());
@@ -349,7 +350,7 @@
   return digest;
 }
 
-void Dispatcher::TellAgain(const std::vector<PrefixPlacement>& prefixes) {
+void Dispatcher::RequeuePrefixes(const std::vector<PrefixPlacement>& prefixes) {
   new_prefixes_.insert(new_prefixes_.end(), prefixes.begin(), prefixes.end());
 }
 
--- a/libs/dispatch/src/dispatcher_choice.cc
+++ b/libs/dispatch/src/dispatcher_choice.cc
@@ -35,16 +35,17 @@
   return !IsOff(Mechanism::kSuspension) && health_.IsSuspended(backend, now);
 }
 
-// True when reading `reading_ms` would rather break the pauses of the most sensitive streams.
-bool Dispatcher::IsDisturbing(BackendKey backend, double reading_ms) const {
+// True when reading `prefill_ms` would rather break the pauses of the most sensitive streams.
+bool Dispatcher::IsDisturbing(BackendKey backend, double prefill_ms) const {
   if (risk_.Bounds().empty()) return false;
-  return BreakChance(backend, 0, reading_ms, risk_.Bounds().front()) > kLikely;
+  return BreakChance(backend, 0, prefill_ms, risk_.Bounds().front()) > kLikely;
 }
 
 // Engines that hold the prompt, those to which the requester is connected, and some drawn evenly
 // from the pool: the work of a placement does not grow with the pool.
-std::vector<PoolMember> Dispatcher::SomeOf(const ServicePool& pool, const Requester& requester,
-                                           const RequestProfile& profile, TimePoint now) {
+std::vector<PoolMember> Dispatcher::SampleMembers(const ServicePool& pool,
+                                                  const Requester& requester,
+                                                  const RequestProfile& profile, TimePoint now) {
   std::vector<BackendKey> keys;
   if (profile.is_generation && !IsOff(Mechanism::kPrefixAffinity)) {
     keys = prefixes_.HoldersOf(profile.prompt_parts, kMostHoldersWeighed, now);
@@ -68,13 +69,13 @@
 Dispatcher::PlacementView Dispatcher::View(const Requester& requester,
                                            const RequestProfile& profile,
                                            const std::vector<BackendKey>& tried, TimePoint now,
-                                           const GrantRight& right) {
+                                           const GrantAuthority& right) {
   loads_.ExpirePeers(now);
   RemoveMissing(now);
   const ServicePools::Inputs inputs{registry_, pauses_, loads_, work_};
   const ServicePool& pool = pools_.Of(profile.service, inputs, now);
   if (pool.Size() > kSmallPool) {
-    const std::vector<PoolMember> some = SomeOf(pool, requester, profile, now);
+    const std::vector<PoolMember> some = SampleMembers(pool, requester, profile, now);
     PlacementView view = ViewOf(some, profile, tried, now, right);
     if (!view.candidates.empty()) return view;
     // All of these were tried, or are metered: some of the others may not be.
@@ -85,14 +86,14 @@
 Dispatcher::PlacementView Dispatcher::ViewOf(const std::vector<PoolMember>& members,
                                              const RequestProfile& profile,
                                              const std::vector<BackendKey>& tried, TimePoint now,
-                                             const GrantRight& right) const {
+                                             const GrantAuthority& right) const {
   const RegionSet allowed = registry_.Regions().AllowedFor(profile);
   PlacementView view;
   std::vector<Candidate> suspended;
   for (const PoolMember& member : members) {
     const Backend* backend = registry_.FindOpen(member.key);
     if (backend == nullptr || !allowed.Allows(backend->region)) continue;
-    if (!SuitsVersion(profile, *backend)) continue;
+    if (!MatchesVersion(profile, *backend)) continue;
     if (Contains(tried, member.key)) continue;
     const Duration wait = WaitForMetered(*backend, now, right);
     if (wait > Duration(0)) {
@@ -101,7 +102,7 @@
       continue;
     }
     Candidate candidate{backend, member.for_light};
-    candidate.is_to_be_tried = cold_.IsToBeTried(*backend, now);
+    candidate.is_trial = cold_.IsDueForTrial(*backend, now);
     (IsSuspended(member.key, now) ? suspended : view.candidates).push_back(candidate);
   }
   if (view.candidates.empty()) view.candidates = std::move(suspended);
@@ -158,7 +159,7 @@
 std::optional<Placement> Dispatcher::Choose(const Requester& requester,
                                             const RequestProfile& profile,
                                             const std::vector<BackendKey>& tried, TimePoint now,
-                                            const GrantRight& right) {
+                                            const GrantAuthority& right) {
   PlacementView view = View(requester, profile, tried, now, right);
   if (view.candidates.empty()) return std::nullopt;
   view.requester = &requester;
@@ -169,12 +170,12 @@
     const Estimate estimate = profile.is_generation
                                   ? EstimateGeneration(profile, candidate, view, now)
                                   : EstimatePlain(candidate, view, now);
-    if (best != nullptr && !candidate.is_to_be_tried && estimate.loss >= best_estimate.loss) {
+    if (best != nullptr && !candidate.is_trial && estimate.loss >= best_estimate.loss) {
       continue;
     }
     best = candidate.backend;
     best_estimate = estimate;
-    if (!candidate.is_to_be_tried) continue;
+    if (!candidate.is_trial) continue;
     cold_.NoteAsked(best->key, now);
     break;
   }
@@ -185,12 +186,12 @@
     placement.fetch_prefix_key = best_estimate.fetch_from->key;
   }
   placement.expected_loss = best_estimate.loss;
-  placement.reading_ms = best_estimate.reading_ms;
+  placement.prefill_ms = best_estimate.prefill_ms;
   placement.first_output_ms = best_estimate.first_output_ms;
   placement.held_tokens = best_estimate.held_tokens;
   placement.load = best_estimate.load;
   placement.candidates = static_cast<int64_t>(view.candidates.size());
-  placement.rate_words_known = now;
+  placement.rate_notices_known = now;
   NoteMetered(&placement, now);
   return placement;
 }
--- a/libs/dispatch/src/dispatcher_loss.cc
+++ b/libs/dispatch/src/dispatcher_loss.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-double Dispatcher::ReadingMillis(int64_t held_tokens, int64_t prompt_tokens) const {
+double Dispatcher::PrefillMillis(int64_t held_tokens, int64_t prompt_tokens) const {
   const auto unread = static_cast<double>(std::max<int64_t>(prompt_tokens - held_tokens, 0));
   const double pairs = unread * (static_cast<double>(held_tokens) + unread / 2);
   return unread / policy_.read_tokens_per_ms + policy_.attention_ms_per_million * pairs / 1e6;
@@ -33,7 +33,7 @@
 
 // Reading that waits at the engine: what this node follows, and what peers told.
 double Dispatcher::BacklogMillis(BackendKey backend, TimePoint now) const {
-  const double of_peers_ms = loads_.OfPeers(backend).reading_ms * SlownessOf(backend, now);
+  const double of_peers_ms = loads_.OfPeers(backend).prefill_ms * SlownessOf(backend, now);
   return backlog_.Millis(backend, now) + of_peers_ms;
 }
 
@@ -55,29 +55,29 @@
   if (IsOff(Mechanism::kIdleConnections)) return zone;
   // One that was limited has lost its connections to that, and would not get them back.
   const bool connected = Contains(requester.connected, backend.key) ||
-                         registry_.Limits().WasWithdrawnLately(backend.key, now);
+                         registry_.Limits().WasWithdrawnRecently(backend.key, now);
   return zone + (connected ? 0 : policy_.new_connection_loss);
 }
 
-// The chance that a prompt of `reading_ms` behind `backlog_ms` puts a stream beyond `bound`.
-double Dispatcher::BreakChance(BackendKey backend, double backlog_ms, double reading_ms,
+// The chance that a prompt of `prefill_ms` behind `backlog_ms` puts a stream beyond `bound`.
+double Dispatcher::BreakChance(BackendKey backend, double backlog_ms, double prefill_ms,
                                Duration bound) const {
   if (IsOff(Mechanism::kReadingPause)) return 0;
-  return pauses_.AddedBreakProbability(backend, backlog_ms, reading_ms, bound);
+  return pauses_.AddedBreakProbability(backend, backlog_ms, prefill_ms, bound);
 }
 
 double Dispatcher::LossOfStreams(const Backend& backend, double backlog_ms,
-                                 double reading_ms) const {
+                                 double prefill_ms) const {
   if (IsOff(Mechanism::kStreamRisk)) return 0;
   double loss = 0;
   for (const StreamRisk::Exposure& exposure : risk_.At(backend.key)) {
     if (exposure.streams <= 0) continue;
-    loss += exposure.streams * BreakChance(backend.key, backlog_ms, reading_ms, exposure.bound);
+    loss += exposure.streams * BreakChance(backend.key, backlog_ms, prefill_ms, exposure.bound);
   }
   // Peers tell the number of their streams only: the least bound is assumed.
   const int64_t of_peers = loads_.OfPeers(backend.key).light_requests;
   if (of_peers > 0 && !risk_.Bounds().empty()) {
-    const double chance = BreakChance(backend.key, backlog_ms, reading_ms, risk_.Bounds().front());
+    const double chance = BreakChance(backend.key, backlog_ms, prefill_ms, risk_.Bounds().front());
     loss += static_cast<double>(of_peers) * chance;
   }
   return loss;
@@ -119,11 +119,11 @@
 // A prompt that disturbs is kept off the engines that are set aside for sensitive streams, and
 // these off the others, by the chance that their pauses are broken.
 double Dispatcher::LossElsewhere(const RequestProfile& profile, const Candidate& candidate,
-                                 double reading_ms) const {
+                                 double prefill_ms) const {
   if (IsOff(Mechanism::kDivision) || risk_.Bounds().empty()) return 0;
   const BackendKey backend = candidate.backend->key;
   if (candidate.for_light) {
-    const double chance = BreakChance(backend, 0, reading_ms, risk_.Bounds().front());
+    const double chance = BreakChance(backend, 0, prefill_ms, risk_.Bounds().front());
     return policy_.heavy_elsewhere_loss * chance;
   }
   if (!profile.longest_pause.has_value()) return 0;
@@ -174,7 +174,7 @@
   if (read_twice > 0) {
     estimate.loss += static_cast<double>(read_twice) * policy_.loss_per_reread_token;
   }
-  estimate.reading_ms = ReadingMillis(held, profile.prompt_tokens);
+  estimate.prefill_ms = PrefillMillis(held, profile.prompt_tokens);
   return estimate;
 }
 
@@ -186,12 +186,12 @@
   Estimate estimate = EstimatePrompt(profile, candidate, view);
   estimate.load = loads_.Total(backend.key);
   const double backlog_ms = BacklogMillis(backend.key, now);
-  const double reading_ms = estimate.reading_ms * SlownessOf(backend.key, now);
+  const double prefill_ms = estimate.prefill_ms * SlownessOf(backend.key, now);
   estimate.first_output_ms +=
-      backlog_ms + reading_ms + kSendingMs + WaitForSlotMillis(profile, backend, estimate.load);
+      backlog_ms + prefill_ms + kSendingMs + WaitForSlotMillis(profile, backend, estimate.load);
   estimate.loss += OwnLateProbability(profile, backend, estimate.first_output_ms, backlog_ms, now);
-  estimate.loss += LossOfStreams(backend, backlog_ms, reading_ms);
-  estimate.loss += LossElsewhere(profile, candidate, reading_ms);
+  estimate.loss += LossOfStreams(backend, backlog_ms, prefill_ms);
+  estimate.loss += LossElsewhere(profile, candidate, prefill_ms);
   estimate.loss += FailureShareOf(backend.key, now);
   estimate.loss += estimate.first_output_ms * policy_.loss_per_ms;
   estimate.loss += CrowdingLoss(backend, estimate.load);
--- a/libs/dispatch/src/dispatcher_metered.cc
+++ b/libs/dispatch/src/dispatcher_metered.cc
@@ -14,29 +14,29 @@
 
 }  // namespace
 
-std::optional<ColdSpell> Dispatcher::SpellOf(const Backend& backend, TimePoint now) const {
+std::optional<ColdPeriod> Dispatcher::ColdPeriodOf(const Backend& backend, TimePoint now) const {
   const ServiceWarmUp* warm_up = cold_.RuleOf(backend.service);
   if (warm_up == nullptr) return std::nullopt;
-  return cold_.SpellOf(backend, *warm_up, registry_.Drains(), now);
+  return cold_.ColdPeriodOf(backend, *warm_up, registry_.Drains(), now);
 }
 
 // 0: it is warm, or may get a request now.
 Duration Dispatcher::WaitForCold(const Backend& backend, TimePoint now,
-                                 const GrantRight& right) const {
-  const std::optional<ColdSpell> spell = SpellOf(backend, now);
+                                 const GrantAuthority& right) const {
+  const std::optional<ColdPeriod> spell = ColdPeriodOf(backend, now);
   if (!spell.has_value()) return Duration(0);
   const Duration left = spell->until - now;
   if (!right.to_cold) return std::min<Duration>(left, kRetryWithoutRight);
   GrantAllowance allowance = cold_.RuleOf(backend.service)->allowance;
   allowance.since = spell->since;
   // Left for the question, which ends the spell: requests would take each grant as it comes about.
-  if (spell->is_to_be_asked) allowance.most = std::max<int64_t>(allowance.most - 1, 1);
+  if (spell->needs_warmth_query) allowance.most = std::max<int64_t>(allowance.most - 1, 1);
   return std::min(left, grants_.WaitFor(backend.key, allowance, now));
 }
 
 // 0: it named no rate, or may get a request now.
 Duration Dispatcher::WaitForLimited(const Backend& backend, TimePoint now,
-                                    const GrantRight& right) const {
+                                    const GrantAuthority& right) const {
   const std::optional<RateLimit> limit = registry_.Limits().Of(backend.key);
   if (!limit.has_value()) return Duration(0);
   if (right.limited_share <= 0) return kRetryWithoutRight;
@@ -50,7 +50,7 @@
 
 // 0: it is not brittle, or may get a request now.
 Duration Dispatcher::WaitForBrittle(const Backend& backend, TimePoint now,
-                                    const GrantRight& right) const {
+                                    const GrantAuthority& right) const {
   const std::optional<RateLimit> bears = registry_.Brittle().Of(backend.key);
   if (!bears.has_value()) return Duration(0);
   if (right.limited_share <= 0) return kRetryWithoutRight;
@@ -61,27 +61,27 @@
 }
 
 Duration Dispatcher::WaitForMetered(const Backend& backend, TimePoint now,
-                                    const GrantRight& right) const {
+                                    const GrantAuthority& right) const {
   return std::max({WaitForCold(backend, now, right), WaitForLimited(backend, now, right),
                    WaitForBrittle(backend, now, right)});
 }
 
 // What this node may grant to it in the long run, in requests a second.
-double Dispatcher::LimitedRate(const Backend& backend, const GrantRight& right) const {
+double Dispatcher::LimitedRate(const Backend& backend, const GrantAuthority& right) const {
   const std::optional<RateLimit> limit = registry_.Limits().Of(backend.key);
   return limit.has_value() ? GrantedRate(limit->per_s, right.limited_share) : 0;
 }
 
 // Known by its entry or its zone. What nodes saw lost differs from node to node, and the
 // coordinator hears most of it.
-bool Dispatcher::IsToldCold(const Backend& backend, TimePoint now) const {
+bool Dispatcher::IsReportedCold(const Backend& backend, TimePoint now) const {
   const ServiceWarmUp* warm_up = cold_.RuleOf(backend.service);
   if (warm_up == nullptr) return false;
-  return cold_.ToldSpellOf(backend, *warm_up, registry_.Drains(), now).has_value();
+  return cold_.ReportedColdPeriodOf(backend, *warm_up, registry_.Drains(), now).has_value();
 }
 
 // It is limited by a word that whoever knew those read by `words_known` did not know.
-bool Dispatcher::IsLimitedSince(BackendKey backend, TimePoint words_known) const {
+bool Dispatcher::HasLaterRateLimit(BackendKey backend, TimePoint words_known) const {
   const std::optional<RateLimit> limit = registry_.Limits().Of(backend);
   return limit.has_value() && limit->read > words_known;
 }
@@ -91,34 +91,35 @@
   if (!MayReceive(placement.backend.key, profile, now)) return false;
   if (placement.send_by.has_value()) return now <= *placement.send_by;
   const Backend* known = registry_.FindByKey(placement.backend.key);
-  return !IsToldCold(*known, now) && !IsLimitedSince(known->key, placement.rate_words_known);
+  return !IsReportedCold(*known, now) &&
+         !HasLaterRateLimit(known->key, placement.rate_notices_known);
 }
 
 bool Dispatcher::IsMetered(const Backend& backend, TimePoint now) const {
-  return SpellOf(backend, now).has_value() || registry_.Limits().Of(backend.key).has_value() ||
+  return ColdPeriodOf(backend, now).has_value() || registry_.Limits().Of(backend.key).has_value() ||
          registry_.Brittle().Of(backend.key).has_value();
 }
 
 // Each choice of a metered back end is a grant, which holds for a short time.
 void Dispatcher::NoteMetered(Placement* placement, TimePoint now) const {
-  if (IsMetered(placement->backend, now)) placement->send_by = now + kGrantHolds;
+  if (IsMetered(placement->backend, now)) placement->send_by = now + kGrantLifetime;
 }
 
 std::optional<Duration> Dispatcher::MeteredWait(const RequestProfile& profile,
                                                 const std::vector<BackendKey>& tried, TimePoint now,
-                                                const GrantRight& right) {
+                                                const GrantAuthority& right) {
   const PlacementView view = View({"", zone_, {}}, profile, tried, now, right);
   if (!view.candidates.empty() || !view.metered_wait.has_value()) return std::nullopt;
   if (view.limited_per_s <= 0) return view.metered_wait;
   return returns_[profile.service].Next(*view.metered_wait, view.limited_per_s, now);
 }
 
-std::vector<Backend> Dispatcher::TakeWarmthQuestions(const std::string& service, size_t most,
-                                                     TimePoint now) {
+std::vector<Backend> Dispatcher::TakeWarmthQueries(const std::string& service, size_t most,
+                                                   TimePoint now) {
   std::vector<Backend> questions;
   const ServiceWarmUp* warm_up = cold_.RuleOf(service);
-  if (warm_up == nullptr || !warm_up->tells_warmth) return questions;
-  for (const BackendKey key : cold_.ToBeAsked(now)) {
+  if (warm_up == nullptr || !warm_up->reports_warmth) return questions;
+  for (const BackendKey key : cold_.DueForWarmthQuery(now)) {
     if (questions.size() >= most) break;
     const Backend* backend = registry_.FindOpen(key);
     if (backend == nullptr || backend->service != service || !registry_.MayAsk(key, now)) continue;
@@ -133,7 +134,7 @@
 std::vector<ColdBackEnd> Dispatcher::ColdOf(const std::string& service, TimePoint now) const {
   std::vector<ColdBackEnd> cold;
   for (const Backend* backend : registry_.ReadyOf(service)) {
-    const std::optional<ColdSpell> spell = SpellOf(*backend, now);
+    const std::optional<ColdPeriod> spell = ColdPeriodOf(*backend, now);
     if (spell.has_value()) cold.push_back({*backend, *spell});
   }
   return cold;
--- a/libs/dispatch/src/engine_partition.cc
+++ b/libs/dispatch/src/engine_partition.cc
@@ -15,18 +15,18 @@
   return sum_ms_ * std::exp(-age / ToSeconds(window_));
 }
 
-void WorkMeter::Note(double reading_ms, TimePoint now) {
-  sum_ms_ = DecayedTo(now) + reading_ms;
+void WorkMeter::Note(double prefill_ms, TimePoint now) {
+  sum_ms_ = DecayedTo(now) + prefill_ms;
   updated_ = now;
 }
 
-double WorkMeter::ReadingRate(TimePoint now) const { return DecayedTo(now) / ToSeconds(window_); }
+double WorkMeter::PrefillRate(TimePoint now) const { return DecayedTo(now) / ToSeconds(window_); }
 
-void ServiceWorkView::Note(std::string_view service, bool is_light, double reading_ms,
+void ServiceWorkView::Note(std::string_view service, bool is_light, double prefill_ms,
                            TimePoint now) {
   const Meters empty{WorkMeter(window_), WorkMeter(window_)};
   Meters& meters = own_.try_emplace(std::string(service), empty).first->second;
-  (is_light ? meters.light : meters.heavy).Note(reading_ms, now);
+  (is_light ? meters.light : meters.heavy).Note(prefill_ms, now);
 }
 
 void ServiceWorkView::SetPeer(std::string_view node, const std::vector<ServiceWork>& work,
@@ -41,8 +41,8 @@
   total.service = std::string(service);
   const auto own = own_.find(total.service);
   if (own != own_.end()) {
-    total.light_ms_per_s = own->second.light.ReadingRate(now);
-    total.heavy_ms_per_s = own->second.heavy.ReadingRate(now);
+    total.light_ms_per_s = own->second.light.PrefillRate(now);
+    total.heavy_ms_per_s = own->second.heavy.PrefillRate(now);
   }
   for (const auto& [node, peer] : peers_) {
     if (now > peer.until) continue;
@@ -58,7 +58,7 @@
 std::vector<ServiceWork> ServiceWorkView::Own(TimePoint now) const {
   std::vector<ServiceWork> work;
   for (const auto& [service, meters] : own_) {
-    work.push_back({service, meters.light.ReadingRate(now), meters.heavy.ReadingRate(now)});
+    work.push_back({service, meters.light.PrefillRate(now), meters.heavy.PrefillRate(now)});
   }
   return work;
 }
@@ -67,16 +67,16 @@
   const auto total = static_cast<double>(engines);
   const double light = work.light_ms_per_s / 1e3;
   const double heavy = work.heavy_ms_per_s / 1e3;
-  const double wished = std::max(light / policy.light_wanted,
+  const double wished = std::max(light / policy.light_target_use,
                                  work.light_requests / (policy.light_slots * work.slots));
-  const double wished_by_heavy = std::max(heavy / policy.heavy_wanted,
+  const double wished_by_heavy = std::max(heavy / policy.heavy_target_use,
                                           work.heavy_requests / (policy.heavy_slots * work.slots));
   const double wished_by_all = wished + wished_by_heavy;
   const double fair = wished_by_all > 0 ? total * wished / wished_by_all : total / 2;
   const double needed =
-      std::max(light / policy.light_most, work.light_requests / policy.streams_per_engine);
-  return std::clamp(std::max(fair, needed), total * policy.least_light_share,
-                    total * policy.most_light_share);
+      std::max(light / policy.light_max_use, work.light_requests / policy.streams_per_engine);
+  return std::clamp(std::max(fair, needed), total * policy.min_light_share,
+                    total * policy.max_light_share);
 }
 
 int64_t LightEngineTarget::Update(double wanted, int64_t engines) {
--- a/libs/dispatch/src/grant_right.cc
+++ b/libs/dispatch/src/grant_authority.cc
@@ -1,8 +1,8 @@
-#include "cartsail/dispatch/grant_right.h"
+#include "cartsail/dispatch/grant_authority.h"
 
 namespace cartsail {
 
-GrantRight GrantRightOf(const FleetView& view) {
+GrantAuthority GrantAuthorityOf(const FleetView& view) {
   if (!view.is_first) return {};
   if (view.known == 0) return {true, 1};
   if (!view.is_settled) return {};
--- a/libs/dispatch/src/grant_book.cc
+++ b/libs/dispatch/src/grant_book.cc
@@ -10,7 +10,7 @@
   grant.backend = placement.backend.key;
   grant.fetch_prefix_from = placement.fetch_prefix_key;
   grant.expected_loss = placement.expected_loss;
-  grant.reading_ms = placement.reading_ms;
+  grant.prefill_ms = placement.prefill_ms;
   grant.first_output_ms = placement.first_output_ms;
   grant.held_tokens = placement.held_tokens;
   grant.candidates = placement.candidates;
@@ -19,18 +19,19 @@
   return grant;
 }
 
-const OutstandingGrant* GrantBook::Find(const std::string& node, QuestionId question) const {
+const OutstandingGrant* GrantBook::Find(const std::string& node, PlacementQueryId question) const {
   const auto grants = nodes_.find(node);
   if (grants == nodes_.end()) return nullptr;
   const auto grant = grants->second.grants.find(question);
   return grant == grants->second.grants.end() ? nullptr : &grant->second;
 }
 
-void GrantBook::Add(const std::string& node, QuestionId question, const OutstandingGrant& grant) {
+void GrantBook::Add(const std::string& node, PlacementQueryId question,
+                    const OutstandingGrant& grant) {
   nodes_[node].grants[question] = grant;
 }
 
-std::optional<PlacementTicket> GrantBook::Take(const std::string& node, QuestionId question) {
+std::optional<PlacementTicket> GrantBook::Take(const std::string& node, PlacementQueryId question) {
   const auto grants = nodes_.find(node);
   if (grants == nodes_.end()) return std::nullopt;
   const auto grant = grants->second.grants.find(question);
@@ -41,7 +42,7 @@
 }
 
 std::vector<PlacementTicket> GrantBook::Reconcile(const std::string& node,
-                                                  const std::vector<QuestionId>& live,
+                                                  const std::vector<PlacementQueryId>& live,
                                                   TimePoint now) {
   std::vector<PlacementTicket> ended;
   const auto entry = nodes_.find(node);
@@ -62,7 +63,7 @@
 
 void GrantBook::Heard(const std::string& node, TimePoint now) { nodes_[node].heard = now; }
 
-std::vector<PlacementTicket> GrantBook::TakeSilent(TimePoint now) {
+std::vector<PlacementTicket> GrantBook::TakeFromSilentNodes(TimePoint now) {
   std::vector<PlacementTicket> ended;
   for (auto entry = nodes_.begin(); entry != nodes_.end();) {
     if (now - entry->second.heard < kSilence) {
--- a/libs/dispatch/src/load_ledger.cc
+++ b/libs/dispatch/src/load_ledger.cc
@@ -5,7 +5,7 @@
 namespace cartsail {
 
 BackendLoad& BackendLoad::operator+=(const BackendLoad& other) {
-  reading_ms += other.reading_ms;
+  prefill_ms += other.prefill_ms;
   requests += other.requests;
   light_requests += other.light_requests;
   attempts += other.attempts;
@@ -14,7 +14,7 @@
 }
 
 BackendLoad& BackendLoad::operator-=(const BackendLoad& other) {
-  reading_ms = std::max(0.0, reading_ms - other.reading_ms);
+  prefill_ms = std::max(0.0, prefill_ms - other.prefill_ms);
   requests -= other.requests;
   light_requests -= other.light_requests;
   attempts = std::max(0.0, attempts - other.attempts);
@@ -22,16 +22,16 @@
   return *this;
 }
 
-void LoadLedger::Begin(BackendKey backend, double reading_ms, bool is_light) {
+void LoadLedger::Begin(BackendKey backend, double prefill_ms, bool is_light) {
   BackendLoad& load = own_[backend];
-  load.reading_ms += reading_ms;
+  load.prefill_ms += prefill_ms;
   ++load.requests;
   load.light_requests += is_light ? 1 : 0;
 }
 
-void LoadLedger::FirstOutput(BackendKey backend, double reading_ms) {
+void LoadLedger::FirstOutput(BackendKey backend, double prefill_ms) {
   BackendLoad& load = own_[backend];
-  load.reading_ms = std::max(0.0, load.reading_ms - reading_ms);
+  load.prefill_ms = std::max(0.0, load.prefill_ms - prefill_ms);
 }
 
 void LoadLedger::End(BackendKey backend, bool is_light) {
--- a/libs/dispatch/src/pause_model.cc
+++ b/libs/dispatch/src/pause_model.cc
@@ -134,13 +134,13 @@
   return bound_ms <= 0 ? 0 : PaceOf(backend).BreakProbability(backlog_ms, bound_ms);
 }
 
-double PauseModel::AddedBreakProbability(BackendKey backend, double backlog_ms, double reading_ms,
+double PauseModel::AddedBreakProbability(BackendKey backend, double backlog_ms, double prefill_ms,
                                          Duration bound) const {
   const double bound_ms = ToMillis(bound);
   if (bound_ms <= 0) return 0;
   const Pace pace = PaceOf(backend);
   const double before = pace.BreakProbability(backlog_ms, bound_ms);
-  const double after = pace.BreakProbability(backlog_ms + reading_ms, bound_ms);
+  const double after = pace.BreakProbability(backlog_ms + prefill_ms, bound_ms);
   return before >= 1 ? 0 : std::max(0.0, (after - before) / (1 - before));
 }
 
--- a/libs/dispatch/src/reading_backlog.cc
+++ b/libs/dispatch/src/prefill_backlog.cc
@@ -1,4 +1,4 @@
-#include "cartsail/dispatch/reading_backlog.h"
+#include "cartsail/dispatch/prefill_backlog.h"
 
 #include <algorithm>
 
@@ -13,18 +13,18 @@
 
 }  // namespace
 
-double ReadingBacklog::LeftMillis(const Queue& queue, TimePoint now) {
+double PrefillBacklog::LeftMillis(const Queue& queue, TimePoint now) {
   if (queue.prompts == 0) return 0;
   if (now <= queue.busy_until) return std::min(ToMillis(queue.busy_until - now), queue.unread_ms);
   // Overdue: the engine is slower than expected, or silent. As much again is expected.
   return std::max(0.0, ToMillis(now - queue.busy_until - kOutputDelay));
 }
 
-void ReadingBacklog::Add(BackendKey backend, double reading_ms, TimePoint now) {
+void PrefillBacklog::Add(BackendKey backend, double prefill_ms, TimePoint now) {
   Queue& queue = queues_[backend];
   const TimePoint free_at = std::max(now, queue.busy_until);
-  queue.busy_until = free_at + FromSeconds(reading_ms / 1e3);
-  queue.unread_ms += reading_ms;
+  queue.busy_until = free_at + FromSeconds(prefill_ms / 1e3);
+  queue.unread_ms += prefill_ms;
   ++queue.prompts;
   const double backlog_ms = LeftMillis(queue, now);
   while (!queue.peaks.empty() && queue.peaks.back().backlog_ms <= backlog_ms) {
@@ -36,25 +36,25 @@
   queue.peaks.push_back({now, backlog_ms});
 }
 
-void ReadingBacklog::Remove(BackendKey backend, double reading_ms, TimePoint now) {
+void PrefillBacklog::Remove(BackendKey backend, double prefill_ms, TimePoint now) {
   const auto entry = queues_.find(backend);
   if (entry == queues_.end()) return;
   Queue& queue = entry->second;
   if (queue.prompts == 0) return;  // placed before the engine was forgotten
   --queue.prompts;
-  queue.unread_ms = queue.prompts == 0 ? 0 : std::max(0.0, queue.unread_ms - reading_ms);
+  queue.unread_ms = queue.prompts == 0 ? 0 : std::max(0.0, queue.unread_ms - prefill_ms);
   // What is left can't take longer than this, whatever was expected before.
   const TimePoint latest = now + FromSeconds(queue.unread_ms / 1e3);
   queue.busy_until = std::min(queue.busy_until, latest);
 }
 
-double ReadingBacklog::Millis(BackendKey backend, TimePoint now) const {
+double PrefillBacklog::Millis(BackendKey backend, TimePoint now) const {
   const auto queue = queues_.find(backend);
   if (queue == queues_.end()) return 0;
   return LeftMillis(queue->second, now);
 }
 
-double ReadingBacklog::MostMillisBetween(BackendKey backend, TimePoint since,
+double PrefillBacklog::PeakMillisBetween(BackendKey backend, TimePoint since,
                                          TimePoint until) const {
   const auto queue = queues_.find(backend);
   if (queue == queues_.end()) return 0;
@@ -65,7 +65,7 @@
   return 0;
 }
 
-void ReadingBacklog::ForgetUnless(const std::function<bool(BackendKey backend)>& is_known) {
+void PrefillBacklog::ForgetUnless(const std::function<bool(BackendKey backend)>& is_known) {
   std::erase_if(queues_, [&is_known](const auto& queue) { return !is_known(queue.first); });
 }
 
--- a/libs/dispatch/tests/attempt_outcome_test.cc
+++ b/libs/dispatch/tests/attempt_outcome_test.cc
@@ -26,12 +26,12 @@
   const RouteRule route = MakeRoute(RequestKind::kOnce, 3);
   AttemptHistory history;
   history.attempts = 1;
-  cr_assert(MayTryAgain(route, AttemptOutcome::kRefused, history));
-  cr_assert(MayTryAgain(route, AttemptOutcome::kWrongInstance, history));
-  cr_assert(MayTryAgain(route, AttemptOutcome::kNotSent, history));
-  cr_assert(MayTryAgain(route, AttemptOutcome::kWithheld, history));
+  cr_assert(MayRetry(route, AttemptOutcome::kRefused, history));
+  cr_assert(MayRetry(route, AttemptOutcome::kWrongInstance, history));
+  cr_assert(MayRetry(route, AttemptOutcome::kNotSent, history));
+  cr_assert(MayRetry(route, AttemptOutcome::kWithheld, history));
   history.may_have_run = 1;
-  for (const AttemptOutcome outcome : kAll) cr_assert(!MayTryAgain(route, outcome, history));
+  for (const AttemptOutcome outcome : kAll) cr_assert(!MayRetry(route, outcome, history));
 }
 
 Test(attempts, a_repeatable_request_keeps_to_its_attempts) {
@@ -39,20 +39,20 @@
   AttemptHistory history;
   history.attempts = 1;
   history.may_have_run = 1;
-  cr_assert(MayTryAgain(route, AttemptOutcome::kCut, history));
-  cr_assert(MayTryAgain(route, AttemptOutcome::kFailedAnswer, history));
-  cr_assert(!MayTryAgain(route, AttemptOutcome::kTimedOut, history));
+  cr_assert(MayRetry(route, AttemptOutcome::kCut, history));
+  cr_assert(MayRetry(route, AttemptOutcome::kFailedAnswer, history));
+  cr_assert(!MayRetry(route, AttemptOutcome::kTimedOut, history));
   history.attempts = 2;
   history.may_have_run = 2;
-  cr_assert(!MayTryAgain(route, AttemptOutcome::kCut, history));
+  cr_assert(!MayRetry(route, AttemptOutcome::kCut, history));
 }
 
 Test(attempts, a_stream_goes_on_elsewhere_only_when_it_is_resumable) {
   AttemptHistory history;
   history.attempts = 1;
   history.may_have_run = 1;
-  cr_assert(!MayTryAgain(MakeRoute(RequestKind::kStream, 2), AttemptOutcome::kCut, history));
-  cr_assert(MayTryAgain(MakeRoute(RequestKind::kStream, 2, true), AttemptOutcome::kCut, history));
+  cr_assert(!MayRetry(MakeRoute(RequestKind::kStream, 2), AttemptOutcome::kCut, history));
+  cr_assert(MayRetry(MakeRoute(RequestKind::kStream, 2, true), AttemptOutcome::kCut, history));
 }
 
 // Random outcomes for random routes: what may run once runs once, and attempts stay in bounds.
@@ -77,7 +77,7 @@
         ++history.may_have_run;
         ++runs;
       }
-    } while (MayTryAgain(route, outcome, history));
+    } while (MayRetry(route, outcome, history));
     cr_assert(runs <= (repeats ? route.max_attempts : 1));
     cr_assert(history.attempts + history.connects_failed <= 4);
   }
--- a/libs/dispatch/tests/backend_notices_test.cc
+++ b/libs/dispatch/tests/backend_notices_test.cc
@@ -71,9 +71,10 @@
 
 Test(backend_notices, leaving_ones_are_remembered_up_to_a_bound) {
   BackendNotices notices;
-  for (BackendKey key = 0; key <= BackendNotices::kMostLeaving; ++key) notices.NoteLeaving(key);
+  for (BackendKey key = 0; key <= BackendNotices::kMaxLeavingRemembered; ++key)
+    notices.NoteLeaving(key);
   cr_assert(!notices.IsLeaving(0) && notices.IsLeaving(1));
-  cr_assert(notices.IsLeaving(BackendNotices::kMostLeaving));
+  cr_assert(notices.IsLeaving(BackendNotices::kMaxLeavingRemembered));
 }
 
 // By every way: a choice of this node, a repeat, a coordinator's choice, a request that was placed
--- a/libs/dispatch/tests/brittle_back_ends_test.cc
+++ b/libs/dispatch/tests/brittle_back_ends_test.cc
@@ -14,7 +14,7 @@
 const TimePoint kStart = TimePoint(seconds(100));
 constexpr int64_t kSlots = 8;
 constexpr double kBears = 6;
-const GrantRight kWhole{true, 1};
+const GrantAuthority kWhole{true, 1};
 
 RequestProfile Profile() {
   RequestProfile profile;
@@ -37,7 +37,7 @@
 
   void NameAll(TimePoint now) {
     for (const Backend& engine : dispatcher.Registry().All()) {
-      RateWord word;
+      RateNotice word;
       word.per_s = kBears;
       word.asked = now;
       word.read = {now, {}};
@@ -98,7 +98,7 @@
 Test(brittle_back_ends, they_are_free_again_when_they_say_so) {
   Engines engines(1);
   engines.NameAll(kStart);
-  RateWord word;
+  RateNotice word;
   word.asked = kStart + seconds(1);
   word.read = {kStart + seconds(1), {}};
   const BackendKey key = engines.dispatcher.Registry().All().front().key;
--- a/libs/dispatch/tests/dispatcher_test.cc
+++ b/libs/dispatch/tests/dispatcher_test.cc
@@ -168,7 +168,7 @@
 DispatchDigest BusyAt(const std::string& engine) {
   BackendLoadEntry busy;
   busy.backend = KeyOf(engine);
-  busy.load.reading_ms = 5000;
+  busy.load.prefill_ms = 5000;
   busy.load.requests = 30;
   DispatchDigest digest;
   digest.loads = {busy};
@@ -265,7 +265,7 @@
           break;
         case 1:
           dispatcher.Registry().Remove(engine);
-          dispatcher.ForgetGone();
+          dispatcher.ForgetRemovedBackends();
           break;
         case 2: {
           // Another start: leaving is final for one.
@@ -305,7 +305,7 @@
       dispatcher.Finish(ticket, AttemptOutcome::kAnswered, now);
     }
     for (const BackendLoadEntry& entry : dispatcher.TakeDigest(now).loads) {
-      cr_assert(entry.load.requests == 0 && entry.load.reading_ms == 0);
+      cr_assert(entry.load.requests == 0 && entry.load.prefill_ms == 0);
     }
   }
 }
--- a/libs/dispatch/tests/engine_partition_test.cc
+++ b/libs/dispatch/tests/engine_partition_test.cc
@@ -19,7 +19,7 @@
   const PartitionPolicy policy;
   cr_assert(WantedLightEngines(policy, {2000, 90000, 0, 0, 48}, 12) >= 5);
   cr_assert(WantedLightEngines(policy, {0, 90000, 24 * 6, 0, 48}, 12) >= 6);
-  cr_assert(WantedLightEngines(policy, {0, 0, 0, 0, 48}, 12) >= 12 * policy.least_light_share);
+  cr_assert(WantedLightEngines(policy, {0, 0, 0, 0, 48}, 12) >= 12 * policy.min_light_share);
 }
 
 // Engines with few slots: what runs counts, though little is read.
--- a/libs/dispatch/tests/grant_book_test.cc
+++ b/libs/dispatch/tests/grant_book_test.cc
@@ -38,7 +38,7 @@
   book.Add("n1", 1, Grant(11, kNow));
   book.Add("n2", 1, Grant(21, kNow));
   book.Heard("n2", kNow + seconds(5));
-  const std::vector<PlacementTicket> ended = book.TakeSilent(kNow + GrantBook::kSilence);
+  const std::vector<PlacementTicket> ended = book.TakeFromSilentNodes(kNow + GrantBook::kSilence);
   cr_assert(ended == std::vector<PlacementTicket>{11});
   cr_assert(book.Find("n2", 1) != nullptr);
 }
--- a/libs/dispatch/tests/incarnation_test.cc
+++ b/libs/dispatch/tests/incarnation_test.cc
@@ -102,7 +102,7 @@
   dispatcher.Registry().Put(MakeBackend("b", kFirst));
   const auto running = dispatcher.Place(Prompt(), {}, kStart);
   dispatcher.Registry().Put(MakeBackend("b", kSecond));
-  dispatcher.ForgetGone();
+  dispatcher.ForgetRemovedBackends();
   const BackendKey reborn = KeyOf("b", kSecond);
   cr_assert(dispatcher.RequestsAt(reborn) == 0);
   cr_assert(!dispatcher.MayReceive(running->backend.key, Prompt(), kStart),
@@ -127,7 +127,7 @@
   cr_assert(wary->backend.id == "other", "the failures count as long as the process lives");
   dispatcher.Finish(wary->ticket, AttemptOutcome::kCallerGone, kStart);
   dispatcher.Registry().Put(MakeBackend("b", kSecond));
-  dispatcher.ForgetGone();
+  dispatcher.ForgetRemovedBackends();
   for (const BackendLoadEntry& entry : dispatcher.TakeDigest(kStart).loads) {
     cr_assert(entry.backend == other, "nobody is told of failures of the new one");
   }
@@ -161,7 +161,7 @@
   cr_assert(again->held_tokens > 0);
   dispatcher.Finish(again->ticket, AttemptOutcome::kAnswered, later);
   dispatcher.Registry().Put(MakeBackend("b", kSecond));
-  dispatcher.ForgetGone();
+  dispatcher.ForgetRemovedBackends();
   cr_assert(dispatcher.Place(Prompt(), {}, later)->held_tokens == 0);
 }
 
--- a/libs/dispatch/tests/last_back_ends_test.cc
+++ b/libs/dispatch/tests/last_back_ends_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 const TimePoint kStart = TimePoint(seconds(1000));
-const GrantRight kAll{true, 1};
+const GrantAuthority kAll{true, 1};
 const WarmUp kWarmUp{seconds(3), 8.6};
 constexpr int kEngines = 4;
 constexpr int kRequests = 40;
@@ -158,7 +158,7 @@
   cr_assert(fleet.Placed(kStart) == most * kEngines);
   const auto wait = fleet.Nodes().MeteredWait(Plain(), {}, kStart + milliseconds(250), kAll);
   cr_assert(wait == seconds(1), "the callers are told when the window opens");
-  cr_assert(fleet.Placed(kStart + seconds(1) + kGrantHolds) == most * kEngines);
+  cr_assert(fleet.Placed(kStart + seconds(1) + kGrantLifetime) == most * kEngines);
   cr_assert(fleet.Placed(kStart + seconds(3)) == kRequests);
 }
 
--- a/libs/dispatch/tests/limited_back_ends_test.cc
+++ b/libs/dispatch/tests/limited_back_ends_test.cc
@@ -14,7 +14,7 @@
 namespace {
 
 const TimePoint kStart = TimePoint(seconds(1000));
-const GrantRight kAll{true, 1};
+const GrantAuthority kAll{true, 1};
 const RateLimitBound kBound;
 
 Backend MakeEngine(const std::string& id) {
@@ -41,7 +41,7 @@
 
 void Name(Dispatcher& dispatcher, const std::string& engine, std::optional<double> per_s,
           TimePoint now) {
-  RateWord word;
+  RateNotice word;
   word.per_s = per_s;
   word.asked = now - milliseconds(1);
   word.read.at = now;
@@ -65,7 +65,7 @@
 // Requests come every `every`; those that are placed are done at once. By engine, when.
 std::map<std::string, std::vector<TimePoint>> PlaceFor(Dispatcher& dispatcher, TimePoint from,
                                                        Duration time, Duration every,
-                                                       const GrantRight& right = kAll) {
+                                                       const GrantAuthority& right = kAll) {
   std::map<std::string, std::vector<TimePoint>> placed;
   for (TimePoint now = from; now < from + time; now += every) {
     const auto placement = dispatcher.Place(Question(), {}, now, {}, right);
@@ -123,10 +123,11 @@
   for (int i = 0; i < allowed; ++i) {
     cr_assert(dispatcher.Place(Question(), {}, kStart, {}, kAll).has_value());
   }
-  std::vector<TimePoint> sent(static_cast<size_t>(allowed), kStart + kGrantHolds);
-  Name(dispatcher, "e", kRate, kStart + kGrantHolds);
-  const TimePoint holds = kStart + kGrantHolds + kBound.hearing;
-  for (TimePoint now = kStart + kGrantHolds; now < kStart + seconds(10); now += milliseconds(10)) {
+  std::vector<TimePoint> sent(static_cast<size_t>(allowed), kStart + kGrantLifetime);
+  Name(dispatcher, "e", kRate, kStart + kGrantLifetime);
+  const TimePoint holds = kStart + kGrantLifetime + kBound.hearing;
+  for (TimePoint now = kStart + kGrantLifetime; now < kStart + seconds(10);
+       now += milliseconds(10)) {
     if (dispatcher.Place(Question(), {}, now, {}, kAll).has_value()) sent.push_back(now);
   }
   const size_t most = MostInAnyWindow(sent, holds);
@@ -211,7 +212,7 @@
   while (dispatcher.Place(Question(), {}, later, {}, kAll).has_value()) continue;
   Duration last{};
   for (int i = 0; i < 1000; ++i) last = *dispatcher.MeteredWait(Question(), {}, later, kAll);
-  cr_assert(last == ReturnSchedule::kLongest);
+  cr_assert(last == RetrySchedule::kLongest);
 }
 
 // A coordinator of an earlier build, or one that was not told yet.
@@ -238,8 +239,8 @@
   cr_assert(!dispatcher.MaySend(*placement, Question(), kStart + milliseconds(20)));
   const TimePoint later = kStart + seconds(4);
   const auto granted = dispatcher.Place(Question(), {}, later, {}, kAll);
-  cr_assert(dispatcher.MaySend(*granted, Question(), later + kGrantHolds));
-  cr_assert(!dispatcher.MaySend(*granted, Question(), later + kGrantHolds + milliseconds(1)));
+  cr_assert(dispatcher.MaySend(*granted, Question(), later + kGrantLifetime));
+  cr_assert(!dispatcher.MaySend(*granted, Question(), later + kGrantLifetime + milliseconds(1)));
 }
 
 // A question for cached parts is none of its callers' requests.
@@ -258,7 +259,7 @@
   engine.started_ms = 1800000000000;
   dispatcher.Registry().Put(engine);
   const BackendKey earlier = dispatcher.Registry().Find("e")->key;
-  RateWord word;
+  RateNotice word;
   word.per_s = 1;
   word.read = {kStart, milliseconds(1800000100000)};
   (void)dispatcher.Registry().NoteRate(earlier, word);
--- a/libs/dispatch/tests/lost_back_ends_test.cc
+++ b/libs/dispatch/tests/lost_back_ends_test.cc
@@ -13,7 +13,7 @@
 
 const TimePoint kStart = TimePoint(seconds(1000));
 const WarmUp kWarmUp{seconds(1), 8};
-const GrantRight kAll{true, 1};
+const GrantAuthority kAll{true, 1};
 constexpr Duration kStep = milliseconds(10);
 constexpr int kEnginesOfZone = 4;
 constexpr size_t kMostQuestions = 32;
@@ -53,7 +53,7 @@
 
   // Engines that are asked answer at once, all but those in `silent`.
   void Step(TimePoint now) {
-    for (const Backend& engine : dispatcher_.TakeWarmthQuestions("s", kMostQuestions, now)) {
+    for (const Backend& engine : dispatcher_.TakeWarmthQueries("s", kMostQuestions, now)) {
       ++questions_;
       if (silent_.contains(engine.id)) continue;
       const Duration left = std::max(cold_until_ - now, Duration(0));
--- a/libs/dispatch/tests/pause_model_test.cc
+++ b/libs/dispatch/tests/pause_model_test.cc
@@ -16,11 +16,11 @@
 // An engine as the model's equation describes it, with measured pauses a little off.
 struct SyntheticEngine {
   double base_ms = 20;
-  double reading_ms = 200;
+  double prefill_ms = 200;
 
   StreamPauses Pauses(double backlog_ms, std::mt19937& random) const {
     std::uniform_real_distribution<double> noise(0.97, 1.03);
-    const double longest = std::min(base_ms + backlog_ms, reading_ms) * noise(random);
+    const double longest = std::min(base_ms + backlog_ms, prefill_ms) * noise(random);
     return {base_ms * std::uniform_real_distribution<double>(1.0, 1.2)(random), longest};
   }
 };
--- a/libs/dispatch/tests/placement_at_size_test.cc
+++ b/libs/dispatch/tests/placement_at_size_test.cc
@@ -132,7 +132,7 @@
     if (i % 3 == 0) fleet.dispatcher.Registry().Remove(id);
     if (i % 3 == 1) fleet.dispatcher.Registry().MarkLeaving(KeyOf(id));
   }
-  fleet.dispatcher.ForgetGone();
+  fleet.dispatcher.ForgetRemovedBackends();
   for (uint64_t i = 0; i < 50; ++i) {
     const std::optional<Placement> placed =
         fleet.dispatcher.Place(PromptAbout(i, i), {}, kStart + milliseconds(1));
@@ -153,7 +153,7 @@
     if (i % 10 == 0) registry.Put(testing::MakeBackend("new" + std::to_string(i), 0));
     (void)pools.Of("s", {registry, pauses, loads, work}, kStart + milliseconds(i));
   }
-  return pools.Looked();
+  return pools.ExaminedBackends();
 }
 
 Test(placement_at_size, keeping_pools_costs_no_more_for_a_larger_service) {
--- a/libs/dispatch/tests/rate_limits_test.cc
+++ b/libs/dispatch/tests/rate_limits_test.cc
@@ -16,7 +16,7 @@
 const TimePoint kStart = TimePoint(seconds(1000));
 constexpr milliseconds kStartWall(1800000000000);
 
-RateWord WordAt(std::optional<double> per_s, Duration asked, Duration read) {
+RateNotice WordAt(std::optional<double> per_s, Duration asked, Duration read) {
   const auto wall = kStartWall + std::chrono::duration_cast<milliseconds>(read);
   return {per_s, kStart + asked, {kStart + read, wall}};
 }
@@ -53,11 +53,11 @@
   RateLimits limits;
   (void)limits.Note(kEngine, WordAt(1, seconds(0), seconds(1)));
   cr_assert(limits.Note(kEngine, WordAt({}, milliseconds(900), seconds(5))) == RateChange::kNone);
-  RateWord unknown = WordAt({}, {}, seconds(5));
+  RateNotice unknown = WordAt({}, {}, seconds(5));
   unknown.asked = TimePoint();
   cr_assert(limits.Note(kEngine, unknown) == RateChange::kNone);
   cr_assert(limits.Of(kEngine).has_value());
-  const RateWord withdrawn = WordAt({}, seconds(2), seconds(5));
+  const RateNotice withdrawn = WordAt({}, seconds(2), seconds(5));
   cr_assert(limits.Note(kEngine, withdrawn) == RateChange::kWithdrawn);
   cr_assert(!limits.Of(kEngine).has_value() && limits.IsEmpty());
   // It is told late that the rate was named before that.
@@ -72,14 +72,14 @@
   const std::vector<std::optional<double>> said = {4.0, 1.5,          std::nullopt, 0.5,
                                                    3.0, std::nullopt, 2.0};
   for (int round = 0; round < 200; ++round) {
-    std::vector<RateWord> words;
+    std::vector<RateNotice> words;
     for (size_t i = 0; i < said.size(); ++i) {
       const auto at = milliseconds(1000 * i);
       words.push_back(WordAt(said[i], at, at + milliseconds(300)));
     }
     std::shuffle(words.begin(), words.end(), random);
     RateLimits limits;
-    for (const RateWord& word : words) (void)limits.Note(kEngine, word);
+    for (const RateNotice& word : words) (void)limits.Note(kEngine, word);
     cr_assert(limits.Of(kEngine)->per_s == 2.0);
   }
 }
@@ -87,9 +87,9 @@
 Test(rate_limits, another_incarnation_is_bound_by_what_was_read_after_its_start) {
   RateLimits limits;
   (void)limits.Note(kEngine, WordAt(1, seconds(0), seconds(1)));
-  limits.Succeed(kEngine, kReborn, kStartWall + seconds(60));
+  limits.CarryToSuccessor(kEngine, kReborn, kStartWall + seconds(60));
   cr_assert(!limits.Of(kReborn).has_value(), "said by the process before");
-  limits.Succeed(kEngine, kReborn, kStartWall);
+  limits.CarryToSuccessor(kEngine, kReborn, kStartWall);
   cr_assert(limits.Of(kReborn)->per_s == 1, "it answered before its start was known");
   // Its own next answer tells the truth.
   (void)limits.Note(kReborn, WordAt({}, seconds(2), seconds(3)));
@@ -103,9 +103,9 @@
   }
   (void)limits.Note(5, WordAt({}, seconds(6), seconds(7)));
   const auto all = [](BackendKey) { return true; };
-  const std::vector<BackendRateWord> two = limits.Latest(all, 2, kStart + seconds(8));
+  const std::vector<BackendRateNotice> two = limits.Latest(all, 2, kStart + seconds(8));
   cr_assert(two.size() == 2 && two[0].backend == 5 && two[1].backend == 4);
-  cr_assert(!two[0].word.per_s.has_value() && two[1].word.per_s == 4.0);
+  cr_assert(!two[0].notice.per_s.has_value() && two[1].notice.per_s == 4.0);
   const TimePoint later = kStart + seconds(7) + RateLimits::kWithdrawnTold;
   cr_assert(limits.Latest(all, 9, later).size() == 4);
   const auto even = [](BackendKey key) { return key % 2 == 0; };
--- a/libs/dispatch/tests/stream_risk_test.cc
+++ b/libs/dispatch/tests/stream_risk_test.cc
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "cartsail/dispatch/mechanism.h"
-#include "cartsail/dispatch/reading_backlog.h"
+#include "cartsail/dispatch/prefill_backlog.h"
 #include "cartsail/dispatch/run_time.h"
 #include "testing/criterion.h"
 
@@ -78,7 +78,7 @@
 }
 
 Test(reading_backlog, grows_with_prompts_and_shrinks_with_time) {
-  ReadingBacklog backlog;
+  PrefillBacklog backlog;
   backlog.Add(kEngine, 100, kStart);
   backlog.Add(kEngine, 50, kStart);
   cr_assert(Near(backlog.Millis(kEngine, kStart), 150));
@@ -87,7 +87,7 @@
 }
 
 Test(reading_backlog, a_first_output_shows_that_the_prompt_is_read) {
-  ReadingBacklog backlog;
+  PrefillBacklog backlog;
   backlog.Add(kEngine, 100, kStart);
   backlog.Add(kEngine, 50, kStart);
   backlog.Remove(kEngine, 100, kStart + milliseconds(20));
@@ -97,7 +97,7 @@
 }
 
 Test(reading_backlog, overdue_prompts_count_for_as_long_as_they_are_overdue) {
-  ReadingBacklog backlog;
+  PrefillBacklog backlog;
   backlog.Add(kEngine, 100, kStart);
   cr_assert(backlog.Millis(kEngine, kStart + milliseconds(110)) == 0, "it may be on its way");
   const double silent = backlog.Millis(kEngine, kStart + seconds(1));
@@ -107,22 +107,22 @@
 }
 
 Test(reading_backlog, nothing_is_left_over_when_all_prompts_are_read) {
-  ReadingBacklog backlog;
-  for (const double reading_ms : {0.1, 0.2, 0.7}) backlog.Add(kEngine, reading_ms, kStart);
-  for (const double reading_ms : {0.7, 0.2, 0.1}) backlog.Remove(kEngine, reading_ms, kStart);
+  PrefillBacklog backlog;
+  for (const double prefill_ms : {0.1, 0.2, 0.7}) backlog.Add(kEngine, prefill_ms, kStart);
+  for (const double prefill_ms : {0.7, 0.2, 0.1}) backlog.Remove(kEngine, prefill_ms, kStart);
   cr_assert(backlog.Millis(kEngine, kStart + seconds(5)) == 0, "sums of fractions leave a rest");
   backlog.Remove(kEngine, 5, kStart);
   cr_assert(backlog.Millis(kEngine, kStart + seconds(5)) == 0);
 }
 
 Test(reading_backlog, remembers_the_most_that_was_read_in_a_span) {
-  ReadingBacklog backlog;
+  PrefillBacklog backlog;
   backlog.Add(kEngine, 300, kStart);
   backlog.Add(kEngine, 20, kStart + seconds(1));
-  cr_assert(backlog.MostMillisBetween(kEngine, kStart, kStart + seconds(2)) == 300);
+  cr_assert(backlog.PeakMillisBetween(kEngine, kStart, kStart + seconds(2)) == 300);
   const TimePoint later = kStart + milliseconds(500);
-  cr_assert(Near(backlog.MostMillisBetween(kEngine, later, kStart + seconds(2)), 20));
-  cr_assert(backlog.MostMillisBetween(kEngine, kStart, kStart + milliseconds(100)) == 0,
+  cr_assert(Near(backlog.PeakMillisBetween(kEngine, later, kStart + seconds(2)), 20));
+  cr_assert(backlog.PeakMillisBetween(kEngine, kStart, kStart + milliseconds(100)) == 0,
             "not read yet");
 }
 
--- a/libs/dispatch/tests/warm_up_test.cc
+++ b/libs/dispatch/tests/warm_up_test.cc
@@ -14,9 +14,9 @@
 constexpr Duration kLength = seconds(3);
 const WarmUp kWarmUp{kLength, 8.6};
 const ColdBound kBound;
-const GrantRight kAll{true, 1};
+const GrantAuthority kAll{true, 1};
 // What is sent in one second was granted within this time.
-constexpr Duration kWindow = seconds(1) + kGrantHolds;
+constexpr Duration kWindow = seconds(1) + kGrantLifetime;
 const GrantAllowance kFive{5, kWindow};
 const GrantAllowance kTwo{2, kWindow};
 
@@ -59,7 +59,7 @@
   return dispatcher;
 }
 
-std::optional<Placement> Place(Dispatcher& dispatcher, TimePoint now, const GrantRight& right) {
+std::optional<Placement> Place(Dispatcher& dispatcher, TimePoint now, const GrantAuthority& right) {
   return dispatcher.Place(Question(), {}, now, {}, right);
 }
 
@@ -110,12 +110,12 @@
 Test(cold_back_ends, without_the_right_none_is_chosen) {
   Dispatcher dispatcher = MakeDispatcher({ColdEngine("cold", seconds(2)), MakeEngine("e", "z1")});
   for (int i = 0; i < 50; ++i) {
-    cr_assert(Place(dispatcher, kStart, GrantRight())->backend.id == "e");
+    cr_assert(Place(dispatcher, kStart, GrantAuthority())->backend.id == "e");
   }
   Dispatcher only = MakeDispatcher({ColdEngine("cold", seconds(2))});
-  cr_assert(!Place(only, kStart, GrantRight()).has_value());
-  cr_assert(only.MeteredWait(Question(), {}, kStart, GrantRight()) == milliseconds(500));
-  cr_assert(Place(only, kStart + seconds(2), GrantRight()).has_value(), "warm by now");
+  cr_assert(!Place(only, kStart, GrantAuthority()).has_value());
+  cr_assert(only.MeteredWait(Question(), {}, kStart, GrantAuthority()) == milliseconds(500));
+  cr_assert(Place(only, kStart + seconds(2), GrantAuthority()).has_value(), "warm by now");
 }
 
 Test(cold_back_ends, only_cold_ones_left_tell_when_the_window_opens) {
@@ -146,8 +146,8 @@
   }
   cr_assert(elsewhere >= 250, "%d", elsewhere);
   const std::vector<ColdBackEnd> cold = dispatcher.ColdOf("llm", now);
-  cr_assert(cold[0].spell.reason == ColdReason::kRestored);
-  cr_assert(cold[0].spell.until == kStart + seconds(5) + kLength);
+  cr_assert(cold[0].period.reason == ColdReason::kRestored);
+  cr_assert(cold[0].period.until == kStart + seconds(5) + kLength);
   cr_assert(dispatcher.ColdOf("llm", kStart + seconds(5) + kLength).empty());
 }
 
@@ -156,8 +156,8 @@
   dispatcher.Registry().DrainZone("z1", kStart);
   dispatcher.Registry().RestoreZone("z1", kStart);
   const std::vector<ColdBackEnd> cold = dispatcher.ColdOf("llm", kStart + seconds(1));
-  cr_assert(cold.size() == 1 && cold[0].spell.reason == ColdReason::kEntry);
-  cr_assert(cold[0].spell.until == kStart + seconds(30));
+  cr_assert(cold.size() == 1 && cold[0].period.reason == ColdReason::kEntry);
+  cr_assert(cold[0].period.until == kStart + seconds(30));
 }
 
 Test(cold_back_ends, a_lost_one_is_cold_until_it_has_answered_for_the_length) {
@@ -172,12 +172,12 @@
     dispatcher.Finish(early->ticket, AttemptOutcome::kAnswered, kStart + seconds(2));
     const TimePoint back = kStart + seconds(6);
     const auto first = Place(dispatcher, back, kAll);
-    cr_assert(first.has_value() && first->send_by == back + kGrantHolds);
+    cr_assert(first.has_value() && first->send_by == back + kGrantLifetime);
     dispatcher.Output(first->ticket, back + milliseconds(100));
     dispatcher.Finish(first->ticket, AttemptOutcome::kAnswered, back + seconds(1));
     const std::vector<ColdBackEnd> cold = dispatcher.ColdOf("llm", back + seconds(2));
-    cr_assert(cold.size() == 1 && cold[0].spell.reason == ColdReason::kLost);
-    cr_assert(cold[0].spell.until == back + milliseconds(100) + kLength);
+    cr_assert(cold.size() == 1 && cold[0].period.reason == ColdReason::kLost);
+    cr_assert(cold[0].period.until == back + milliseconds(100) + kLength);
     cr_assert(dispatcher.ColdOf("llm", back + milliseconds(100) + kLength).empty());
   }
 }
@@ -209,7 +209,7 @@
   dispatcher.Registry().DrainZone("z1", kStart);
   dispatcher.Registry().RestoreZone("z1", kStart);
   for (int i = 0; i < 30; ++i) {
-    const auto placement = Place(dispatcher, kStart, GrantRight());
+    const auto placement = Place(dispatcher, kStart, GrantAuthority());
     cr_assert(placement.has_value() && !placement->send_by.has_value());
   }
   cr_assert(dispatcher.ColdOf("llm", kStart).empty());
@@ -221,9 +221,9 @@
       MakeDispatcher({ColdEngine("cold", seconds(20)), MakeEngine("warm", "z1")});
   const auto granted = dispatcher.Place(Question(), {KeyOf("warm")}, kStart, {}, kAll);
   cr_assert(granted->backend.id == "cold");
-  cr_assert(dispatcher.MaySend(*granted, Question(), kStart + kGrantHolds));
-  cr_assert(!dispatcher.MaySend(*granted, Question(), kStart + kGrantHolds + milliseconds(1)));
-  const auto free = dispatcher.Place(Question(), {}, kStart, {}, GrantRight());
+  cr_assert(dispatcher.MaySend(*granted, Question(), kStart + kGrantLifetime));
+  cr_assert(!dispatcher.MaySend(*granted, Question(), kStart + kGrantLifetime + milliseconds(1)));
+  const auto free = dispatcher.Place(Question(), {}, kStart, {}, GrantAuthority());
   cr_assert(dispatcher.MaySend(*free, Question(), kStart + seconds(1)));
   dispatcher.Registry().Put(ColdEngine("warm", seconds(20)));
   cr_assert(!dispatcher.MaySend(*free, Question(), kStart + seconds(1)));
@@ -240,10 +240,10 @@
 
 Test(cold_back_ends, what_this_node_withheld_tells_nothing_of_the_back_end) {
   Dispatcher dispatcher = MakeDispatcher({MakeEngine("e", "z1")});
-  const auto placement = Place(dispatcher, kStart, GrantRight());
+  const auto placement = Place(dispatcher, kStart, GrantAuthority());
   dispatcher.Finish(placement->ticket, AttemptOutcome::kWithheld, kStart);
   cr_assert(dispatcher.ColdOf("llm", kStart).empty());
-  cr_assert(Place(dispatcher, kStart, GrantRight()).has_value());
+  cr_assert(Place(dispatcher, kStart, GrantAuthority()).has_value());
 }
 
 }  // namespace
--- a/libs/relay/src/catalog/catalog_sync.cc
+++ b/libs/relay/src/catalog/catalog_sync.cc
@@ -145,7 +145,7 @@
     const bool is_kept = registry.Find(id) != nullptr;
     if (is_kept && !DecodeEntry(item, now).ok()) registry.Remove(id);
   }
-  context_.dispatcher.ForgetGone();
+  context_.dispatcher.ForgetRemovedBackends();
 }
 
 // `revision`: of the store in the list; `asked`: when it held, where that is known.
@@ -229,7 +229,7 @@
        {"lapsed_kept", missing_until.has_value() ? "true" : "false"},
        {"source", std::string(source)}});
   context_.dispatcher.Registry().ReplaceAll(std::move(backends), missing_until);
-  context_.dispatcher.ForgetGone();
+  context_.dispatcher.ForgetRemovedBackends();
 }
 
 void CatalogSync::ConfirmByPeer(TimePoint then, TimePoint now) {
@@ -285,7 +285,7 @@
   const std::optional<TimePoint> missing_until = grace_.MissingUntil(now);
   Log(level, missing_until.has_value() ? "backend_missing" : "backend_gone", {{"backend", id}});
   context_.dispatcher.Registry().Remove(id, missing_until);
-  context_.dispatcher.ForgetGone();
+  context_.dispatcher.ForgetRemovedBackends();
 }
 
 // Nodes write streams some times a second and nobody is told of them: a revision that only brought
@@ -349,7 +349,7 @@
     NoteInvalidBackend(id, backend.status());
     // Whoever wrote it: what stood there before holds no longer.
     context_.dispatcher.Registry().Remove(id);
-    context_.dispatcher.ForgetGone();
+    context_.dispatcher.ForgetRemovedBackends();
     return;
   }
   Log(LogLevel::kInfo, "backend_seen",
@@ -361,7 +361,7 @@
        {"cold_ms", FormatMillis(backend->cold_until.value_or(now) - now)},
        {"revision", std::to_string(item.mod_revision)}});
   context_.dispatcher.Registry().Put(std::move(*backend));
-  context_.dispatcher.ForgetGone();
+  context_.dispatcher.ForgetRemovedBackends();
 }
 
 void CatalogSync::ApplyPatch(const DocumentPatch& patch, std::string_view source, Duration age) {
--- a/libs/relay/src/fleet/datagram.cc
+++ b/libs/relay/src/fleet/datagram.cc
@@ -32,10 +32,10 @@
   return keys;
 }
 
-void EncodeRateWords(const std::vector<BackendRateWord>& words, TimePoint now,
+void EncodeRateWords(const std::vector<BackendRateNotice>& words, TimePoint now,
                      capnp::List<wire::RateWord>::Builder entries) {
   for (unsigned i = 0; i < entries.size(); ++i) {
-    const RateWord& word = words[i].word;
+    const RateNotice& word = words[i].notice;
     entries[i].setBackend(words[i].backend);
     entries[i].setNamed(word.per_s.has_value());
     entries[i].setPerSecond(word.per_s.value_or(0));
@@ -94,7 +94,7 @@
   message.setBackend(grant.backend);
   message.setFetchFrom(grant.fetch_prefix_from);
   message.setExpectedLoss(static_cast<float>(grant.expected_loss));
-  message.setReadingMs(static_cast<float>(grant.reading_ms));
+  message.setReadingMs(static_cast<float>(grant.prefill_ms));
   message.setFirstOutputMs(static_cast<float>(grant.first_output_ms));
   message.setHeldTokens(BoundedTo<uint32_t>(static_cast<double>(grant.held_tokens)));
   message.setCandidates(BoundedTo<uint16_t>(static_cast<double>(grant.candidates)));
@@ -229,17 +229,17 @@
 }
 
 // By this node's clocks; the time on the way counts as none.
-std::vector<BackendRateWord> DecodeRateWords(capnp::List<wire::RateWord>::Reader entries,
-                                             TimePoint now) {
+std::vector<BackendRateNotice> DecodeRateWords(capnp::List<wire::RateWord>::Reader entries,
+                                               TimePoint now) {
   const milliseconds wall = WallNow();
-  std::vector<BackendRateWord> words;
+  std::vector<BackendRateNotice> words;
   for (const auto entry : entries) {
     const milliseconds read_age(entry.getReadAgeMs());
-    BackendRateWord& word = words.emplace_back();
+    BackendRateNotice& word = words.emplace_back();
     word.backend = entry.getBackend();
-    if (entry.getNamed()) word.word.per_s = std::max(0.0, entry.getPerSecond());
-    word.word.read = {now - read_age, wall - read_age};
-    word.word.asked = now - milliseconds(entry.getAskedAgeMs());
+    if (entry.getNamed()) word.notice.per_s = std::max(0.0, entry.getPerSecond());
+    word.notice.read = {now - read_age, wall - read_age};
+    word.notice.asked = now - milliseconds(entry.getAskedAgeMs());
   }
   return words;
 }
@@ -284,7 +284,7 @@
   grant.backend = message.getBackend();
   grant.fetch_prefix_from = message.getFetchFrom();
   grant.expected_loss = message.getExpectedLoss();
-  grant.reading_ms = message.getReadingMs();
+  grant.prefill_ms = message.getReadingMs();
   grant.first_output_ms = message.getFirstOutputMs();
   grant.held_tokens = message.getHeldTokens();
   grant.candidates = message.getCandidates();
--- a/libs/relay/src/fleet/digest_codec.cc
+++ b/libs/relay/src/fleet/digest_codec.cc
@@ -14,7 +14,7 @@
   for (unsigned i = 0; i < loads.size(); ++i) {
     const BackendLoadEntry& entry = entries[i];
     loads[i].setBackend(entry.backend);
-    loads[i].setReadingMs(BoundedTo<uint32_t>(entry.load.reading_ms));
+    loads[i].setReadingMs(BoundedTo<uint32_t>(entry.load.prefill_ms));
     loads[i].setRequests(BoundedTo<uint16_t>(static_cast<double>(entry.load.requests)));
     loads[i].setLightRequests(BoundedTo<uint16_t>(static_cast<double>(entry.load.light_requests)));
     loads[i].setAttempts(BoundedTo<uint16_t>(entry.load.attempts / kAttemptUnit));
@@ -43,7 +43,7 @@
 BackendLoadEntry DecodeLoad(wire::BackendLoad::Reader load) {
   BackendLoadEntry entry;
   entry.backend = load.getBackend();
-  entry.load.reading_ms = load.getReadingMs();
+  entry.load.prefill_ms = load.getReadingMs();
   entry.load.requests = load.getRequests();
   entry.load.light_requests = load.getLightRequests();
   entry.load.attempts = load.getAttempts() * kAttemptUnit;
@@ -72,7 +72,7 @@
   root.setNode(digest.node);
   root.setIntervalMs(BoundedTo<uint32_t>(ToMillis(digest.interval)));
   EncodeDispatch(digest.dispatch, root);
-  const std::vector<QuestionId>& live = digest.live_questions;
+  const std::vector<PlacementQueryId>& live = digest.live_questions;
   auto questions = root.initLiveQuestions(static_cast<unsigned>(live.size()));
   for (unsigned i = 0; i < questions.size(); ++i) questions.set(i, live[i]);
 }
@@ -82,7 +82,7 @@
   digest.node = TextOf(root.getNode());
   digest.interval = milliseconds(root.getIntervalMs());
   digest.dispatch = DecodeDispatch(root);
-  for (const QuestionId question : root.getLiveQuestions()) {
+  for (const PlacementQueryId question : root.getLiveQuestions()) {
     digest.live_questions.push_back(question);
   }
   return digest;
--- a/libs/relay/src/fleet/node_digest.h
+++ b/libs/relay/src/fleet/node_digest.h
@@ -16,7 +16,7 @@
   // Loads are without those that the coordinator placed itself.
   DispatchDigest dispatch;
   // This node's questions to that coordinator whose requests have not ended.
-  std::vector<QuestionId> live_questions;
+  std::vector<PlacementQueryId> live_questions;
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/fleet/peer_exchange.cc
+++ b/libs/relay/src/fleet/peer_exchange.cc
@@ -384,7 +384,7 @@
   const TimePoint now = Now();
   NodeDigest digest = MakeDigest(now);
   // The other coordinators are still to be told of these prefixes.
-  context_.dispatcher.TellAgain(digest.dispatch.prefixes);
+  context_.dispatcher.RequeuePrefixes(digest.dispatch.prefixes);
   (void)Send(host, DigestFor(host, std::move(digest), now));
 }
 
--- a/libs/relay/src/fleet/peer_table.h
+++ b/libs/relay/src/fleet/peer_table.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "cartsail/base/clock.h"
-#include "cartsail/dispatch/grant_right.h"
+#include "cartsail/dispatch/grant_authority.h"
 
 namespace cartsail {
 
--- a/libs/relay/src/placement/cold_watch.cc
+++ b/libs/relay/src/placement/cold_watch.cc
@@ -11,15 +11,15 @@
   SpellsById& before = services_[service];
   SpellsById after;
   for (const ColdBackEnd& entry : cold) {
-    after[entry.backend.id] = entry.spell;
+    after[entry.backend.id] = entry.period;
     const auto known = before.find(entry.backend.id);
-    const bool is_new = known == before.end() || known->second.reason != entry.spell.reason;
+    const bool is_new = known == before.end() || known->second.reason != entry.period.reason;
     if (!is_new || !changes_.Take(now)) continue;
     Log(LogLevel::kInfo, "backend_cold",
         {{"backend", entry.backend.id},
          {"service", service},
-         {"reason", std::string(ColdReasonName(entry.spell.reason))},
-         {"left_ms", fmt::format("{:.0f}", ToMillis(entry.spell.until - now))}});
+         {"reason", std::string(ColdReasonName(entry.period.reason))},
+         {"left_ms", fmt::format("{:.0f}", ToMillis(entry.period.until - now))}});
   }
   for (const auto& [id, spell] : before) {
     if (after.contains(id) || !changes_.Take(now)) continue;
--- a/libs/relay/src/placement/cold_watch.h
+++ b/libs/relay/src/placement/cold_watch.h
@@ -24,7 +24,7 @@
   void NoteRefused(const std::string& service, Duration wait);
 
  private:
-  using SpellsById = std::map<std::string, ColdSpell>;
+  using SpellsById = std::map<std::string, ColdPeriod>;
 
   // A zone that comes back has some dozens of back ends; more lines tell nothing new.
   static constexpr double kChangesPerSecond = 20;
--- a/libs/relay/src/placement/placement_message.h
+++ b/libs/relay/src/placement/placement_message.h
@@ -14,18 +14,18 @@
 namespace cartsail {
 
 struct PlacementQuestion {
-  QuestionId id = 0;
+  PlacementQueryId id = 0;
   RequestProfile profile;
   std::vector<BackendKey> tried;
   std::vector<BackendKey> connected;  // back ends to which the node has an idle connection
   // The newest that the node knows on back ends of the service.
-  std::vector<BackendRateWord> rate_words;
+  std::vector<BackendRateNotice> rate_words;
   // The same of the requests a second that brittle ones bear to turn away.
-  std::vector<BackendRateWord> brittle_words;
+  std::vector<BackendRateNotice> brittle_words;
 };
 
 struct PlacementAnswer {
-  QuestionId id = 0;
+  PlacementQueryId id = 0;
   std::optional<PlacementGrant> grant;  // nothing: the coordinator knows no back end
   // Where only metered back ends are left, and none may get the request now: the time after which
   // it is worth to try again.
@@ -35,7 +35,7 @@
 
 // First output has come, or the request has ended.
 struct RequestProgress {
-  QuestionId id = 0;
+  PlacementQueryId id = 0;
   bool ended = false;
   std::optional<AttemptOutcome> outcome;  // where ended and known
   StreamPauses pauses;                    // where ended
--- a/libs/relay/src/placement/placement_service.cc
+++ b/libs/relay/src/placement/placement_service.cc
@@ -67,9 +67,9 @@
   transport_.announce(host);
 }
 
-GrantRight PlacementService::RightOf(const std::string& service, TimePoint now) const {
+GrantAuthority PlacementService::RightOf(const std::string& service, TimePoint now) const {
   if (!dispatcher_.MayBeMetered(service)) return {};
-  return GrantRightOf(peers_.FleetOf(service, now));
+  return GrantAuthorityOf(peers_.FleetOf(service, now));
 }
 
 void PlacementService::CountMetered(const Placement& placement) const {
@@ -98,7 +98,7 @@
                                             const std::vector<BackendKey>& tried) {
   GlobalCounters().placements_own_total.Add();
   const TimePoint now = Now();
-  const GrantRight right = RightOf(profile.service, now);
+  const GrantAuthority right = RightOf(profile.service, now);
   PlacementResult result;
   result.placement = dispatcher_.Place(profile, tried, now, pool_.Connected(kMostConnected), right);
   if (!result.placement.has_value()) {
@@ -141,8 +141,8 @@
   if (question.tried.size() > kMostExcluded) question.tried.resize(kMostExcluded);
   question.connected = pool_.Connected(kMostConnected);
   const BackendRegistry& registry = dispatcher_.Registry();
-  question.rate_words = registry.RateWordsOf(profile.service, kMostRateWords, Now());
-  question.brittle_words = registry.BrittleWordsOf(profile.service, kMostRateWords, Now());
+  question.rate_words = registry.RateNoticesOf(profile.service, kMostRateWords, Now());
+  question.brittle_words = registry.BrittleNoticesOf(profile.service, kMostRateWords, Now());
   return question;
 }
 
@@ -152,7 +152,9 @@
                                                       TimePoint asked) {
   if (!answer.grant.has_value()) return std::nullopt;
   const BackendKey backend = answer.grant->backend;
-  const auto is_on_it = [backend](const BackendRateWord& word) { return word.backend == backend; };
+  const auto is_on_it = [backend](const BackendRateNotice& word) {
+    return word.backend == backend;
+  };
   const bool was_told =
       std::any_of(question.rate_words.begin(), question.rate_words.end(), is_on_it);
   // Of a back end on which it was told nothing, the coordinator may not know what this node knows.
@@ -161,7 +163,7 @@
       dispatcher_.Adopt(host, *answer.grant, question.profile, words_known, Now());
   if (placement.has_value()) {
     questions_[placement->ticket] = {host, answer.id};
-    if (answer.grant->is_metered) placement->send_by = asked + kGrantHolds;
+    if (answer.grant->is_metered) placement->send_by = asked + kGrantLifetime;
   } else {
     // This node knows better: the back end is leaving or gone, or not known here yet.
     Tell(host, {answer.id, true, std::nullopt, {}});
@@ -171,7 +173,7 @@
 
 asio::awaitable<std::optional<PlacementAnswer>> PlacementService::Ask(const std::string& host,
                                                                       PlacementQuestion question) {
-  const QuestionId id = question.id;
+  const PlacementQueryId id = question.id;
   const Datagram datagram = std::move(question);
   Waiting waiting{host, Timer(io_), std::nullopt};
   waiting_[id] = &waiting;
@@ -253,11 +255,11 @@
   PlacementAnswer answer;
   answer.id = question.id;
   answer.heard_rate_words = true;
-  for (const BackendRateWord& word : question.rate_words) {
-    NoteRate(dispatcher_, word.backend, word.word, host);
+  for (const BackendRateNotice& word : question.rate_words) {
+    NoteRate(dispatcher_, word.backend, word.notice, host);
   }
-  for (const BackendRateWord& word : question.brittle_words) {
-    NoteBrittle(dispatcher_, word.backend, word.word, host);
+  for (const BackendRateNotice& word : question.brittle_words) {
+    NoteBrittle(dispatcher_, word.backend, word.notice, host);
   }
   const OutstandingGrant* known = grants_.Find(host, question.id);
   if (known != nullptr) {
@@ -266,7 +268,7 @@
     return;
   }
   const Requester requester{host, peers_.ZoneOf(host), question.connected};
-  const GrantRight right = RightOf(question.profile.service, now);
+  const GrantAuthority right = RightOf(question.profile.service, now);
   const std::optional<Placement> placement =
       dispatcher_.PlaceFor(requester, question.profile, question.tried, now, right);
   if (!placement.has_value()) {
@@ -300,16 +302,16 @@
   }
 }
 
-void PlacementService::OnLiveQuestions(const std::string& host, const std::vector<QuestionId>& live,
-                                       TimePoint now) {
+void PlacementService::OnLiveQuestions(const std::string& host,
+                                       const std::vector<PlacementQueryId>& live, TimePoint now) {
   grants_.Heard(host, now);
   for (const PlacementTicket ticket : grants_.Reconcile(host, live, now)) {
     dispatcher_.Drop(ticket, now);
   }
 }
 
-std::vector<QuestionId> PlacementService::LiveQuestions(const std::string& host) const {
-  std::vector<QuestionId> live;
+std::vector<PlacementQueryId> PlacementService::LiveQuestions(const std::string& host) const {
+  std::vector<PlacementQueryId> live;
   for (const auto& [ticket, question] : questions_) {
     if (question.host == host) live.push_back(question.id);
   }
@@ -317,7 +319,8 @@
 }
 
 void PlacementService::Tick(TimePoint now) {
-  for (const PlacementTicket ticket : grants_.TakeSilent(now)) dispatcher_.Drop(ticket, now);
+  for (const PlacementTicket ticket : grants_.TakeFromSilentNodes(now))
+    dispatcher_.Drop(ticket, now);
   for (const std::string& service : dispatcher_.ServicesWithWarmUp()) {
     if (GrantsToCold(service, now)) {
       cold_watch_.NoteCold(service, dispatcher_.ColdOf(service, now), now);
--- a/libs/relay/src/placement/placement_service.h
+++ b/libs/relay/src/placement/placement_service.h
@@ -59,10 +59,11 @@
   void OnProgress(const std::string& host, const ProgressReport& report, TimePoint now);
 
   // `host` tells its questions whose requests have not ended.
-  void OnLiveQuestions(const std::string& host, const std::vector<QuestionId>& live, TimePoint now);
+  void OnLiveQuestions(const std::string& host, const std::vector<PlacementQueryId>& live,
+                       TimePoint now);
 
   // This node's questions to `host` whose requests have not ended.
-  std::vector<QuestionId> LiveQuestions(const std::string& host) const;
+  std::vector<PlacementQueryId> LiveQuestions(const std::string& host) const;
 
   // This node grants requests to cold back ends of `service`.
   bool GrantsToCold(const std::string& service, TimePoint now) const {
@@ -86,7 +87,7 @@
   // A request that a coordinator placed.
   struct Question {
     std::string host;
-    QuestionId id = 0;
+    PlacementQueryId id = 0;
     bool told_output = false;
   };
 
@@ -96,7 +97,7 @@
   };
 
   // The right to grant requests to cold back ends, which only services with a warm-up need.
-  GrantRight RightOf(const std::string& service, TimePoint now) const;
+  GrantAuthority RightOf(const std::string& service, TimePoint now) const;
   void CountMetered(const Placement& placement) const;
   PlacementResult PlaceHere(const RequestProfile& profile, const std::vector<BackendKey>& tried);
   boost::asio::awaitable<PlacementResult> PlaceByCoordinator(const RequestProfile& profile,
@@ -120,14 +121,14 @@
   const UpstreamPool& pool_;
   Transport transport_;
   GrantBook grants_;
-  std::map<QuestionId, Waiting*> waiting_;
+  std::map<PlacementQueryId, Waiting*> waiting_;
   std::unordered_map<PlacementTicket, Question> questions_;
   std::map<std::string, Suspicion> suspicions_;      // by host
   std::map<std::string, std::string> coordinators_;  // host by service, as last used
   std::map<std::string, ProgressReport> progress_;   // not sent yet, by host
   Timer progress_timer_;
   ColdWatch cold_watch_;
-  QuestionId next_question_;
+  PlacementQueryId next_question_;
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/placement/rate_notices.cc
+++ b/libs/relay/src/placement/rate_notices.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void NoteRate(Dispatcher& dispatcher, BackendKey backend, const RateWord& word,
+void NoteRate(Dispatcher& dispatcher, BackendKey backend, const RateNotice& word,
               const std::string& source) {
   const RateChange change = dispatcher.Registry().NoteRate(backend, word);
   if (change == RateChange::kNone) return;
@@ -27,7 +27,7 @@
 }
 
 // As NoteRate(), of the requests a second that a brittle back end bears to turn away.
-void NoteBrittle(Dispatcher& dispatcher, BackendKey backend, const RateWord& word,
+void NoteBrittle(Dispatcher& dispatcher, BackendKey backend, const RateNotice& word,
                  const std::string& source) {
   const RateChange change = dispatcher.Registry().NoteBrittle(backend, word);
   if (change == RateChange::kNone) return;
--- a/libs/relay/src/placement/rate_notices.h
+++ b/libs/relay/src/placement/rate_notices.h
@@ -8,9 +8,9 @@
 namespace cartsail {
 
 // `source`: the node that told it, or "answer".
-void NoteBrittle(Dispatcher& dispatcher, BackendKey backend, const RateWord& word,
+void NoteBrittle(Dispatcher& dispatcher, BackendKey backend, const RateNotice& word,
                  const std::string& source);
-void NoteRate(Dispatcher& dispatcher, BackendKey backend, const RateWord& word,
+void NoteRate(Dispatcher& dispatcher, BackendKey backend, const RateNotice& word,
               const std::string& source);
 
 }  // namespace cartsail
--- a/libs/relay/src/placement/warmth_inquiry.cc
+++ b/libs/relay/src/placement/warmth_inquiry.cc
@@ -43,7 +43,7 @@
   }
   double cold_ms = 0;
   const bool is_time = absl::SimpleAtod({told.data(), told.size()}, &cold_ms) && cold_ms >= 0 &&
-                       cold_ms <= ToMillis(kLongestColdSpell);
+                       cold_ms <= ToMillis(kMaxColdPeriod);
   if (is_time) answer.cold_left = FromSeconds(cold_ms / 1e3);
   return answer;
 }
@@ -66,7 +66,7 @@
     if (asking_ >= kMostAtOnce || !context_.placement.GrantsToCold(service, now)) continue;
     const ServiceRule* rule = context_.routing.Table()->FindService(service);
     if (rule == nullptr) continue;
-    for (Backend& backend : dispatcher.TakeWarmthQuestions(service, kMostAtOnce - asking_, now)) {
+    for (Backend& backend : dispatcher.TakeWarmthQueries(service, kMostAtOnce - asking_, now)) {
       ++asking_;
       asio::co_spawn(context_.io, Ask(std::move(backend), rule->health_path), asio::detached);
     }
--- a/libs/relay/src/relay_context.h
+++ b/libs/relay/src/relay_context.h
@@ -71,10 +71,10 @@
   // Idle connections that this node keeps to the back end.
   size_t MostIdleTo(BackendKey backend) const {
     const Backend* known = dispatcher.Registry().FindByKey(backend);
-    if (known == nullptr || routing.Table() == nullptr) return kMostIdleConnections;
+    if (known == nullptr || routing.Table() == nullptr) return kMaxIdleConnections;
     const ServiceRule* service = routing.Table()->FindService(known->service);
-    if (service == nullptr) return kMostIdleConnections;
-    return IdleConnectionsOfOneNode(service->max_connections, peers.NodesNotEnded());
+    if (service == nullptr) return kMaxIdleConnections;
+    return IdleConnectionsPerNode(service->max_connections, peers.NodesNotEnded());
   }
 
   boost::asio::io_context& io;
--- a/libs/relay/src/request/answer_notices.cc
+++ b/libs/relay/src/request/answer_notices.cc
@@ -23,10 +23,10 @@
 
 bool TurnsAway(int status) { return status == kUnavailable || status == kTooManyRequests; }
 
-std::optional<RateWord> WordIn(const NoticedAnswer& answer, const std::string& header,
-                               const WireNames& names) {
+std::optional<RateNotice> WordIn(const NoticedAnswer& answer, const std::string& header,
+                                 const WireNames& names) {
   if (answer.status == kMisdirected) return std::nullopt;
-  RateWord word;
+  RateNotice word;
   word.asked = answer.asked;
   const std::string_view named = FindHeader(answer.headers, header);
   if (named.empty()) {
@@ -56,22 +56,22 @@
   return notice;
 }
 
-std::optional<RateWord> RateWordIn(const NoticedAnswer& answer, const WireNames& names) {
+std::optional<RateNotice> RateWordIn(const NoticedAnswer& answer, const WireNames& names) {
   return WordIn(answer, names.rate_limit, names);
 }
 
-std::optional<RateWord> BrittleWordIn(const NoticedAnswer& answer, const WireNames& names) {
+std::optional<RateNotice> BrittleWordIn(const NoticedAnswer& answer, const WireNames& names) {
   return WordIn(answer, names.brittle, names);
 }
 
 void NoteAnswer(RelayContext& context, const Backend& backend, const NoticedAnswer& answer) {
   const auto& [status, headers, asked] = answer;
-  std::optional<RateWord> word = RateWordIn(answer, context.format.Names());
+  std::optional<RateNotice> word = RateWordIn(answer, context.format.Names());
   if (word.has_value()) {
     word->read = {Now(), WallNow()};
     NoteRate(context.dispatcher, backend.key, *word, "answer");
   }
-  std::optional<RateWord> brittle = BrittleWordIn(answer, context.format.Names());
+  std::optional<RateNotice> brittle = BrittleWordIn(answer, context.format.Names());
   if (brittle.has_value()) {
     brittle->read = {Now(), WallNow()};
     NoteBrittle(context.dispatcher, backend.key, *brittle, "answer");
--- a/libs/relay/src/request/answer_notices.h
+++ b/libs/relay/src/request/answer_notices.h
@@ -22,10 +22,10 @@
 // What the answer says of the rate that its back end takes, without the time at which it was read.
 // Nothing: it says nothing of it. Only an answer of a run, which carries a signature, says that
 // there is no bound by not naming one.
-std::optional<RateWord> RateWordIn(const NoticedAnswer& answer, const WireNames& names);
+std::optional<RateNotice> RateWordIn(const NoticedAnswer& answer, const WireNames& names);
 
 // The same of the requests a second that a brittle back end bears to turn away.
-std::optional<RateWord> BrittleWordIn(const NoticedAnswer& answer, const WireNames& names);
+std::optional<RateNotice> BrittleWordIn(const NoticedAnswer& answer, const WireNames& names);
 
 // To be called for the head of every answer of `backend`, as soon as it is read.
 void NoteAnswer(RelayContext& context, const Backend& backend, const NoticedAnswer& answer);
--- a/libs/relay/src/request/exchange.cc
+++ b/libs/relay/src/request/exchange.cc
@@ -203,7 +203,7 @@
       LogAnswered();
       co_return keep_alive_;
     }
-    if (bound_to_backend_ || !MayTryAgain(*admitted_.route, outcome, history_)) break;
+    if (bound_to_backend_ || !MayRetry(*admitted_.route, outcome, history_)) break;
     if (!co_await IsVersionSure()) break;
     if (deadline_ - Now() < kLeastTimeForAttempt) break;
     if (!co_await TakeRepeat()) break;
--- a/libs/relay/src/upstream/upstream_pool.h
+++ b/libs/relay/src/upstream/upstream_pool.h
@@ -19,7 +19,7 @@
  public:
   explicit UpstreamPool(boost::asio::any_io_executor executor) : executor_(executor) {}
 
-  // How many idle connections may be kept to a back end; kMostIdleConnections where it is not set.
+  // How many idle connections may be kept to a back end; kMaxIdleConnections where it is not set.
   using MostIdle = std::function<size_t(BackendKey backend)>;
   void SetMostIdle(MostIdle most_idle) { most_idle_ = std::move(most_idle); }
 
@@ -52,7 +52,7 @@
 
  private:
   boost::asio::any_io_executor executor_;
-  MostIdle most_idle_ = [](BackendKey) { return kMostIdleConnections; };
+  MostIdle most_idle_ = [](BackendKey) { return kMaxIdleConnections; };
   std::unordered_map<BackendKey, std::vector<std::shared_ptr<UpstreamConnection>>> idle_;
 };
 
--- a/libs/relay/tests/brittle_fleet_test.cc
+++ b/libs/relay/tests/brittle_fleet_test.cc
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "cartsail/dispatch/brittle_back_ends.h"
-#include "cartsail/dispatch/grant_right.h"
+#include "cartsail/dispatch/grant_authority.h"
 #include "support/fleet_partitions.h"
 #include "testing/criterion.h"
 
@@ -26,7 +26,7 @@
   Shares shares;
   for (int node = 0; node < kPartitionedNodes; ++node) {
     const FleetView view = ViewOf(node, partition).FleetOf("llm", kPartitionedAt);
-    shares.push_back(GrantRightOf(view).limited_share);
+    shares.push_back(GrantAuthorityOf(view).limited_share);
   }
   return shares;
 }
@@ -47,7 +47,7 @@
       const BrittleAllowance allowance = AllowanceOfBrittle(bears_seen, share, kSlots);
       while (brittle.WaitFor(kEngine, allowance, kSlots, limiter, now) == Duration(0)) {
         limiter.NoteGrant(kEngine, now);
-        const auto delay = (*random)() % static_cast<uint64_t>(kGrantHolds.count() + 1);
+        const auto delay = (*random)() % static_cast<uint64_t>(kGrantLifetime.count() + 1);
         sent.push_back(now + Duration(delay));
       }
     }
--- a/libs/relay/tests/cold_fleet_test.cc
+++ b/libs/relay/tests/cold_fleet_test.cc
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "cartsail/dispatch/grant_allowances.h"
-#include "cartsail/dispatch/grant_right.h"
+#include "cartsail/dispatch/grant_authority.h"
 #include "support/fleet_partitions.h"
 #include "testing/criterion.h"
 
@@ -27,7 +27,7 @@
   std::vector<bool> rights;
   for (int node = 0; node < kNodes; ++node) {
     const FleetView view = ViewOf(node, partition).FleetOf("llm", kStart);
-    const bool may = rule == Rule::kWhole ? GrantRightOf(view).to_cold : view.is_first;
+    const bool may = rule == Rule::kWhole ? GrantAuthorityOf(view).to_cold : view.is_first;
     rights.push_back(may);
   }
   return rights;
@@ -40,13 +40,13 @@
   std::vector<TimePoint> sent;
   for (int node = 0; node < kNodes; ++node) {
     const TimePoint learns = kStart + seconds(1) + milliseconds((*random)() % 1000);
-    const GrantAllowance allowance{grants, seconds(1) + kGrantHolds};
+    const GrantAllowance allowance{grants, seconds(1) + kGrantLifetime};
     GrantLimiter limiter;
     for (TimePoint now = kStart; now < kStart + kRun; now += kStep) {
       if (!(now < learns ? before : after)[node]) continue;
       while (limiter.WaitFor(1, allowance, now) == Duration(0)) {
         limiter.NoteGrant(1, now);
-        const auto delay = (*random)() % static_cast<uint64_t>(kGrantHolds.count() + 1);
+        const auto delay = (*random)() % static_cast<uint64_t>(kGrantLifetime.count() + 1);
         sent.push_back(now + Duration(delay));
       }
     }
@@ -105,7 +105,7 @@
         for (int node = 0; node < kNodes; ++node) {
           granting += first[node] || second[node] || third[node] ? 1 : 0;
         }
-        cr_assert(granting <= kMostGrantingNodes);
+        cr_assert(granting <= kMaxGrantingNodes);
       }
     }
   }
@@ -127,7 +127,7 @@
   for (int second = 1; second <= 120; ++second) {
     const TimePoint now = kStart + seconds(second);
     peers.ForgetSilent(now);
-    cr_assert(!GrantRightOf(peers.FleetOf("llm", now)).to_cold, "after %d s", second);
+    cr_assert(!GrantAuthorityOf(peers.FleetOf("llm", now)).to_cold, "after %d s", second);
   }
   cr_assert(peers.Peers().empty());
 }
@@ -140,21 +140,21 @@
     peers.Heard(HostOf(i), state, kStart);
     peers.SetStatus(HostOf(i), PeerStatus::kGone, kStart);
   }
-  cr_assert(GrantRightOf(peers.FleetOf("llm", kStart)).to_cold);
+  cr_assert(GrantAuthorityOf(peers.FleetOf("llm", kStart)).to_cold);
 }
 
 Test(cold_fleet, a_node_that_just_started_and_knows_seeds_only_grants_nothing) {
   PeerTable peers(StateOf(0), kStart);
-  cr_assert(GrantRightOf(peers.FleetOf("llm", kStart)).to_cold, "the whole fleet");
+  cr_assert(GrantAuthorityOf(peers.FleetOf("llm", kStart)).to_cold, "the whole fleet");
   for (int i = 1; i < kNodes; ++i) peers.AddHost(HostOf(i), kStart);
-  cr_assert(!GrantRightOf(peers.FleetOf("llm", kStart + seconds(10))).to_cold);
+  cr_assert(!GrantAuthorityOf(peers.FleetOf("llm", kStart + seconds(10))).to_cold);
   // Those that it heard at once are perhaps few of many.
   NodeState young = StateOf(1);
   young.uptime = milliseconds(1);
   for (int i = 1; i < kNodes; ++i) peers.Heard(HostOf(i), young, kStart);
   const FleetView view = peers.FleetOf("llm", kStart + seconds(1));
   cr_assert(!view.is_settled);
-  cr_assert(!GrantRightOf(view).to_cold);
+  cr_assert(!GrantAuthorityOf(view).to_cold);
 }
 
 }  // namespace
--- a/libs/relay/tests/cold_placement_test.cc
+++ b/libs/relay/tests/cold_placement_test.cc
@@ -50,7 +50,7 @@
   for (const PlacementResult& result : results) {
     if (!result.metered_wait.has_value()) continue;
     cr_assert(*result.metered_wait > Duration(0) &&
-              *result.metered_wait <= seconds(1) + kGrantHolds);
+              *result.metered_wait <= seconds(1) + kGrantLifetime);
   }
 }
 
@@ -60,8 +60,8 @@
   const TimePoint begun = Now();
   const PlacementResult result = network.ResultsOf({&network.Other()}, Question())[0];
   cr_assert(!result.placement->placed_by.empty());
-  cr_assert(*result.placement->send_by >= begun + kGrantHolds);
-  cr_assert(*result.placement->send_by <= begun + kGrantHolds + milliseconds(100));
+  cr_assert(*result.placement->send_by >= begun + kGrantLifetime);
+  cr_assert(*result.placement->send_by <= begun + kGrantLifetime + milliseconds(100));
 }
 
 // The coordinator falls silent with grants out; the next one takes over; the first one goes on.
--- a/libs/relay/tests/limited_fleet_test.cc
+++ b/libs/relay/tests/limited_fleet_test.cc
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "cartsail/dispatch/grant_allowances.h"
-#include "cartsail/dispatch/grant_right.h"
+#include "cartsail/dispatch/grant_authority.h"
 #include "support/fleet_partitions.h"
 #include "testing/criterion.h"
 
@@ -28,7 +28,7 @@
   Shares shares;
   for (int node = 0; node < kPartitionedNodes; ++node) {
     const FleetView view = ViewOf(node, partition).FleetOf("llm", kPartitionedAt);
-    shares.push_back(GrantRightOf(view).limited_share);
+    shares.push_back(GrantAuthorityOf(view).limited_share);
   }
   return shares;
 }
@@ -53,7 +53,7 @@
       };
       while (may_grant()) {
         limiter.NoteGrant(kEngine, now);
-        const auto delay = (*random)() % static_cast<uint64_t>(kGrantHolds.count() + 1);
+        const auto delay = (*random)() % static_cast<uint64_t>(kGrantLifetime.count() + 1);
         sent.push_back(now + Duration(delay));
       }
     }
--- a/libs/relay/tests/limited_placement_test.cc
+++ b/libs/relay/tests/limited_placement_test.cc
@@ -15,8 +15,8 @@
 constexpr milliseconds kBetweenRounds(400);
 const RateLimitBound kBound;
 
-RateWord Named(double per_s) {
-  RateWord word;
+RateNotice Named(double per_s) {
+  RateNotice word;
   word.per_s = per_s;
   word.asked = Now() - milliseconds(100);
   word.read = {Now(), WallNow()};
@@ -83,7 +83,7 @@
   LeaveOne(network);
   TestNode& told = network.Other();
   Tell(told, "e0");
-  RateWord withdrawn = Named(1);
+  RateNotice withdrawn = Named(1);
   withdrawn.per_s.reset();
   withdrawn.asked = Now() + milliseconds(50);
   withdrawn.read.at = Now() + milliseconds(60);
@@ -149,7 +149,7 @@
   PlacementQuestion question;
   question.profile = Question();
   for (BackendKey key = 1; key <= 32; ++key) {
-    RateWord word;
+    RateNotice word;
     if (key % 4 != 0) word.per_s = 0.1 * key;
     word.read = {now - milliseconds(10 * key), WallNow() - milliseconds(10 * key)};
     word.asked = word.read.at - milliseconds(7);
@@ -161,8 +161,8 @@
   const auto& read = std::get<PlacementQuestion>(*datagram);
   cr_assert(read.rate_words.size() == question.rate_words.size());
   for (size_t i = 0; i < read.rate_words.size(); ++i) {
-    const RateWord& told = question.rate_words[i].word;
-    const RateWord& heard = read.rate_words[i].word;
+    const RateNotice& told = question.rate_words[i].notice;
+    const RateNotice& heard = read.rate_words[i].notice;
     cr_assert(read.rate_words[i].backend == question.rate_words[i].backend);
     cr_assert(heard.per_s == told.per_s, "also where it is a decimal");
     cr_assert(heard.read.at - told.read.at == seconds(100), "by the receiver's clock");
--- a/libs/relay/tests/relay_cold_test.cc
+++ b/libs/relay/tests/relay_cold_test.cc
@@ -11,7 +11,7 @@
   return text.find(part) != std::string::npos;
 }
 
-constexpr Duration kColdWindow = seconds(1) + kGrantHolds;
+constexpr Duration kColdWindow = seconds(1) + kGrantLifetime;
 
 void MakeServiceCold(RelayFixture& relay, bool has_warm_up, const std::string& address) {
   ServiceRule& rule = relay.Document().services[0];
--- a/libs/relay/tests/relay_state_test.cc
+++ b/libs/relay/tests/relay_state_test.cc
@@ -254,7 +254,7 @@
   const std::optional<Datagram> answered = DecodeDatagram(EncodeDatagram(answer));
   const auto* grant = std::get_if<PlacementAnswer>(&*answered);
   cr_assert(grant->grant->backend == 11 && grant->grant->fetch_prefix_from == 12);
-  cr_assert(grant->grant->reading_ms == 30 && grant->grant->candidates == 9);
+  cr_assert(grant->grant->prefill_ms == 30 && grant->grant->candidates == 9);
   answer.grant.reset();
   const std::optional<Datagram> refused = DecodeDatagram(EncodeDatagram(answer));
   cr_assert(!std::get_if<PlacementAnswer>(&*refused)->grant.has_value());
--- a/libs/relay/tests/retry_after_test.cc
+++ b/libs/relay/tests/retry_after_test.cc
@@ -62,7 +62,7 @@
   cr_assert(!NoticeIn(200, {}, names).leaving);
 }
 
-std::optional<RateWord> RateIn(int status, const HttpHeaders& headers) {
+std::optional<RateNotice> RateIn(int status, const HttpHeaders& headers) {
   return RateWordIn({status, headers, TimePoint(seconds(7))}, WireNames());
 }
 
--- a/libs/relay/tests/warmth_inquiry_test.cc
+++ b/libs/relay/tests/warmth_inquiry_test.cc
@@ -119,7 +119,7 @@
   std::this_thread::sleep_for(milliseconds(300));
   const std::vector<ColdBackEnd> cold = lost.Cold();
   cr_assert(cold.size() == 1);
-  cr_assert(cold[0].spell.until > Now() + seconds(30));
+  cr_assert(cold[0].period.until > Now() + seconds(30));
   cr_assert(lost.Questions().size() == 1, "it has told");
 }
 
