--- a/apps/cartsailctl/main.cc
+++ b/apps/cartsailctl/main.cc
@@ -71,7 +71,7 @@
                });
   flags.Integer("engines", "replay: engines per model", &options->engines, 1, 100000);
   flags.Integer("window", "replay: requests at an engine at once", &options->window, 1, 100000);
-  flags.Words("command", "Command and its arguments", words);
+  flags.PositionalArguments("command", "Command and its arguments", words);
   return flags.Parse(std::vector<std::string>(argv + 1, argv + argc), exit_now);
 }
 
--- a/apps/emulator/scenario_command.cc
+++ b/apps/emulator/scenario_command.cc
@@ -18,7 +18,7 @@
   FlagSet flags("cartsail-emulator scenario", "Runs scripted scenarios", "EMULATOR_");
   flags.Text("bin", "Folder of the programs", &options.bin);
   flags.Integer("repeat", "Times to run each file; stops at the first failure", &repeat, 1, 10000);
-  flags.Words("file", "Scenario files", &files);
+  flags.PositionalArguments("file", "Scenario files", &files);
   bool exit_now = false;
   const absl::Status status = flags.Parse(arguments, &exit_now);
   if (!status.ok() || exit_now) return status;
--- a/libs/base/include/cartsail/base/flags.h
+++ b/libs/base/include/cartsail/base/flags.h
@@ -30,14 +30,15 @@
   void Parsed(const std::string& name, const std::string& help, const std::string& default_text,
               const std::string& allowed, std::function<bool(const std::string&)> parse);
   // Words that stand without a flag.
-  void Words(const std::string& name, const std::string& help, std::vector<std::string>* target);
+  void PositionalArguments(const std::string& name, const std::string& help,
+                           std::vector<std::string>* target);
 
   // Flags win over variables, variables over defaults. kInvalidArgument names the flag and what is
   // allowed. `--help` and `--version` print and set `*exit_now`.
   absl::Status Parse(const std::vector<std::string>& arguments, bool* exit_now);
 
   // The variable behind a flag: "machine-lag" -> "CARTSAIL_MACHINE_LAG".
-  std::string VariableOf(const std::string& name) const;
+  std::string EnvironmentVariable(const std::string& name) const;
 
  private:
   struct Impl;
--- a/libs/base/include/cartsail/base/signals.h
+++ b/libs/base/include/cartsail/base/signals.h
@@ -5,9 +5,9 @@
 
 // Blocks SIGHUP, SIGINT and SIGTERM for this thread and those it starts. To be called first in
 // main(): until their handlers stand, each of them would end the process.
-void HoldSignals();
+void BlockSignals();
 
 // Lets them through; those that came meanwhile are delivered now.
-void ReleaseSignals();
+void UnblockSignals();
 
 }  // namespace cartsail
--- a/libs/base/src/flags.cc
+++ b/libs/base/src/flags.cc
@@ -44,7 +44,7 @@
 
 FlagSet::~FlagSet() = default;
 
-std::string FlagSet::VariableOf(const std::string& name) const {
+std::string FlagSet::EnvironmentVariable(const std::string& name) const {
   std::string variable = impl_->variable_prefix;
   for (const char c : name) {
     variable.push_back(c == '-' ? '_' : static_cast<char>(std::toupper(c)));
@@ -60,7 +60,7 @@
   flag.allowed = allowed;
   flag.parse = std::move(parse);
   const std::string text = fmt::format("{} ({}; variable {}; default '{}')", help, allowed,
-                                       VariableOf(name), default_text);
+                                       EnvironmentVariable(name), default_text);
   flag.argument =
       std::make_unique<TCLAP::ValueArg<std::string>>("", name, text, false, default_text, "value");
   impl_->line.add(*flag.argument);
@@ -98,8 +98,8 @@
          });
 }
 
-void FlagSet::Words(const std::string& name, const std::string& help,
-                    std::vector<std::string>* target) {
+void FlagSet::PositionalArguments(const std::string& name, const std::string& help,
+                                  std::vector<std::string>* target) {
   impl_->words = std::make_unique<TCLAP::UnlabeledMultiArg<std::string>>(name, help, false, name);
   impl_->line.add(*impl_->words);
   impl_->words_target = target;
@@ -122,7 +122,7 @@
     std::string text = flag.argument->getValue();
     std::string source = "--" + flag.name;
     if (!flag.argument->isSet()) {
-      const std::string variable = VariableOf(flag.name);
+      const std::string variable = EnvironmentVariable(flag.name);
       const char* value = std::getenv(variable.c_str());
       if (value != nullptr) {
         text = value;
--- a/libs/base/src/signals.cc
+++ b/libs/base/src/signals.cc
@@ -5,7 +5,7 @@
 namespace cartsail {
 namespace {
 
-sigset_t HeldSignals() {
+sigset_t HandledSignals() {
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGHUP);
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-void HoldSignals() {
-  const sigset_t signals = HeldSignals();
+void BlockSignals() {
+  const sigset_t signals = HandledSignals();
   sigprocmask(SIG_BLOCK, &signals, nullptr);
 }
 
-void ReleaseSignals() {
-  const sigset_t signals = HeldSignals();
+void UnblockSignals() {
+  const sigset_t signals = HandledSignals();
   sigprocmask(SIG_UNBLOCK, &signals, nullptr);
 }
 
--- a/libs/duties/include/cartsail/duties/capacity_planner.h
+++ b/libs/duties/include/cartsail/duties/capacity_planner.h
@@ -48,7 +48,7 @@
   bool operator==(const EngineOrder&) const = default;
 };
 
-enum class OrderOutcome { kAccepted, kNoneToBeHad, kUnknown };
+enum class OrderOutcome { kAccepted, kNoCapacity, kUnknown };
 
 // One for each service.
 class CapacityPlanner {
@@ -88,7 +88,7 @@
   double Bearing(int64_t engines, int64_t cold) const;
   double BearingOf(const CapacityView& view) const;
   bool IsSettled(TimePoint now) const {
-    return (first_start_ && !has_seen_load_) || now - *first_plan_ >= policy_.settling;
+    return (first_start_ && !has_seen_load_) || now - *first_plan_ >= policy_.settling_time;
   }
   int64_t FullPriceWanted(const std::string& zone, const ZonePlan& part, const ZoneEngines& present,
                           const CapacityView& view, TimePoint now);
--- a/libs/duties/include/cartsail/duties/capacity_policy.h
+++ b/libs/duties/include/cartsail/duties/capacity_policy.h
@@ -26,30 +26,30 @@
   int64_t full_price_base = 1;
   // Share of an engine's slots that the load is to take on average. Above it, streams beside
   // prompts that are read miss their pauses.
-  double target_slots_taken = 0.4;
+  double target_utilization = 0.4;
   // Needs fall no faster than by half in this time: bursts come again.
-  Duration memory = seconds(60);
+  Duration demand_half_life = seconds(60);
   // A new holder knows the load and the engines after this time: digests of nodes come within two
   // seconds, and engines that start together are listed within three. Before, no engine at the full
   // price is given up, and nothing is ordered without a load.
-  Duration settling = seconds(3);
+  Duration settling_time = seconds(3);
   // Where both kinds together reach the most there may be, engines at the full price are replaced
   // in parts: this share of the most at a time.
-  double replaced_share = 0.25;
+  double replacement_step_share = 0.25;
   // More engines are ordered at once, fewer at most so often.
   Duration shrink_interval = seconds(5);
   // Engines that were ordered and are not there are ordered again after their start and this time.
-  Duration late_margin = seconds(3);
+  Duration reorder_margin = seconds(3);
   // What a cold engine bears, as a share of a warm one. Services tell the rate of a cold engine and
   // not that of a warm one; at a quarter nothing else is given up for engines that cannot replace
   // it.
-  double cold_share = 0.25;
+  double cold_engine_weight = 0.25;
   // Idle engines of a drained zone are paid for until the drain has lasted this many times as long
   // as others take to start and warm up: they hold prompts, and most drains are shorter. Paying for
   // as long as a replacement would cost anyway at most doubles what the best guess would pay.
-  double drain_outlasts = 2;
+  double drain_hold_factor = 2;
   // After the platform had none to give.
-  Duration pause_after_none = seconds(2);
+  Duration no_capacity_backoff = seconds(2);
 };
 
 }  // namespace cartsail
--- a/libs/duties/include/cartsail/duties/fleet_clock.h
+++ b/libs/duties/include/cartsail/duties/fleet_clock.h
@@ -17,10 +17,10 @@
 class FleetClock {
  public:
   // A peer's clock showed `wall` in a message that came at `now`.
-  void NotePeer(const std::string& host, WallTime wall, TimePoint now);
+  void AddPeerReading(const std::string& host, WallTime wall, TimePoint now);
 
   // This node's own clock shows `wall`.
-  void NoteOwn(WallTime wall, TimePoint now);
+  void AddOwnReading(WallTime wall, TimePoint now);
 
   // The median, `now`; 0 before any clock was noted.
   WallTime At(TimePoint now) const;
--- a/libs/duties/include/cartsail/duties/holder_lease.h
+++ b/libs/duties/include/cartsail/duties/holder_lease.h
@@ -14,7 +14,7 @@
 // Orders the holders of a duty: each acquisition has a greater one than those before.
 using FencingToken = int64_t;
 
-struct LeaseTerms {
+struct LeaseTiming {
   // Of the record in the store. In this time no two nodes may act in turns (A, B, A).
   Duration lease = seconds(3);
   // For calls that are under way when a lease ends or a process is restarted: a call that was
@@ -26,18 +26,18 @@
  public:
   // `may_have_acted`: until then an earlier process of this node may have: the start of this one,
   // or the start of time when there was none.
-  HolderLease(LeaseTerms terms, TimePoint may_have_acted)
+  HolderLease(LeaseTiming terms, TimePoint may_have_acted)
       : terms_(terms), last_act_(may_have_acted) {}
 
   // The record was written with `token`; its lease was asked for at `asked`.
-  void Won(FencingToken token, TimePoint asked);
+  void OnAcquired(FencingToken token, TimePoint asked);
 
   // The store has renewed the lease; the call was made at `asked`. Has no effect once the lease has
   // run out by this node's clock.
-  void Renewed(TimePoint asked);
+  void OnRenewed(TimePoint asked);
 
   // The duty was given up, or another node holds it.
-  void Lost() { token_.reset(); }
+  void OnLost() { token_.reset(); }
 
   // This node acts, or a call of it has ended.
   void NoteAct(TimePoint now) { last_act_ = std::max(last_act_, now); }
@@ -56,7 +56,7 @@
  private:
   TimePoint EndOf(TimePoint asked) const { return asked + terms_.lease - terms_.slack; }
 
-  LeaseTerms terms_;
+  LeaseTiming terms_;
   std::optional<FencingToken> token_;
   TimePoint valid_until_{};
   TimePoint acts_from_{};  // under this token
--- a/libs/duties/include/cartsail/duties/usage_collector.h
+++ b/libs/duties/include/cartsail/duties/usage_collector.h
@@ -36,11 +36,11 @@
   void Merge(const UsageSource& source, const UsageShare& share);
 
   // True when all that the source counted in the window is known.
-  bool HasAllOf(const UsageSource& source, WindowNumber window) const;
+  bool HasCompleteCounts(const UsageSource& source, WindowNumber window) const;
 
   // Hosts that have told anything of the window, and those all of whose counts are known.
-  std::set<std::string> Heard(WindowNumber window) const;
-  std::set<std::string> Complete(WindowNumber window) const;
+  std::set<std::string> ReportingHosts(WindowNumber window) const;
+  std::set<std::string> CompleteHosts(WindowNumber window) const;
 
   TenantCounts Total(WindowNumber window) const;
 
--- a/libs/duties/include/cartsail/duties/usage_record.h
+++ b/libs/duties/include/cartsail/duties/usage_record.h
@@ -11,10 +11,10 @@
 
 inline constexpr std::string_view kUsageRecordPrefix = "cartsail/usage/";
 
-std::string KeyOfUsageRecord(WindowNumber window);
+std::string UsageRecordKey(WindowNumber window);
 
 // The window in a key that begins with the prefix; 0 when there is no number.
-WindowNumber WindowOfUsageRecord(std::string_view key);
+WindowNumber UsageRecordWindow(std::string_view key);
 
 // "tenant=count" lines.
 std::string EncodeUsageRecord(const TenantCounts& counts);
--- a/libs/duties/include/cartsail/duties/usage_window.h
+++ b/libs/duties/include/cartsail/duties/usage_window.h
@@ -16,16 +16,16 @@
 using TenantCounts = std::map<std::string, int64_t>;
 
 // What is due when.
-struct UsageTerms {
+struct UsageSchedule {
   std::chrono::milliseconds window{5000};  // length; 0: no usage is due
   std::chrono::milliseconds due{10000};    // a report is due so long after its window's end
 };
 
-inline WindowNumber WindowAt(WallTime wall, const UsageTerms& terms) {
+inline WindowNumber WindowAt(WallTime wall, const UsageSchedule& terms) {
   return wall.count() / terms.window.count();
 }
 
-inline WallTime EndOf(WindowNumber window, const UsageTerms& terms) {
+inline WallTime EndOf(WindowNumber window, const UsageSchedule& terms) {
   return WallTime((window + 1) * terms.window.count());
 }
 
--- a/libs/duties/src/capacity_planner.cc
+++ b/libs/duties/src/capacity_planner.cc
@@ -42,10 +42,10 @@
   const int64_t least = std::max<int64_t>(view.scaling.least, 0) * zones;
   const int64_t most = view.scaling.most * zones;
   const double slots = static_cast<double>(std::max<int64_t>(view.slots, 1));
-  const double needed = static_cast<double>(view.requests) / (slots * policy_.target_slots_taken);
+  const double needed = static_cast<double>(view.requests) / (slots * policy_.target_utilization);
   has_seen_load_ = has_seen_load_ || view.requests > 0;
   const double elapsed = has_seen_load_ ? ToSeconds(now - needed_at_) : 0;
-  const double fading = std::exp2(-elapsed / ToSeconds(policy_.memory));
+  const double fading = std::exp2(-elapsed / ToSeconds(policy_.demand_half_life));
   needed_ = std::max(needed, needed_ * fading);
   assumed_ *= fading;
   needed_at_ = now;
@@ -113,11 +113,11 @@
   const Line& line = LineOf(zone, kind);
   if (line.is_dry) {
     // Asked again now and then, for one more than there are.
-    if (now - line.ordered_at < policy_.pause_after_none) return;
+    if (now - line.ordered_at < policy_.no_capacity_backoff) return;
     orders->push_back({zone, kind, present + 1});
     return;
   }
-  const bool is_late = now - line.ordered_at >= scaling.boot + policy_.late_margin;
+  const bool is_late = now - line.ordered_at >= scaling.boot + policy_.reorder_margin;
   const bool is_same = line.ordered == wanted;
   // Nothing was ordered yet and what is there is right.
   if (!line.ordered.has_value() && present == wanted) return;
@@ -141,7 +141,7 @@
         LineOf(zone, EngineKind::kReclaimable).ordered.value_or(0) - present.reclaimable;
     const bool lacks_room = present.full_price + part.reclaimable > scaling.most;
     if (lacks_room && starting <= 0 && !IsDry(zone)) {
-      const double step = policy_.replaced_share * static_cast<double>(scaling.most);
+      const double step = policy_.replacement_step_share * static_cast<double>(scaling.most);
       kept = std::min(kept, present.full_price - static_cast<int64_t>(std::ceil(step)));
     }
   }
@@ -169,7 +169,7 @@
 
 double CapacityPlanner::Bearing(int64_t engines, int64_t cold) const {
   const auto warm = static_cast<double>(engines - cold);
-  return warm + static_cast<double>(cold) * policy_.cold_share;
+  return warm + static_cast<double>(cold) * policy_.cold_engine_weight;
 }
 
 // Warm engines that those in the zones that are not drained are worth.
@@ -219,7 +219,7 @@
 bool CapacityPlanner::MayGiveUp(const std::string& zone, const CapacityView& view, TimePoint now) {
   if (EnginesIn(view, zone).requests > 0) return false;
   const double start = ToSeconds(view.scaling.boot + view.warm_up);
-  if (ToSeconds(now - drained_since_[zone]) < policy_.drain_outlasts * start) return false;
+  if (ToSeconds(now - drained_since_[zone]) < policy_.drain_hold_factor * start) return false;
   const std::vector<ZonePrice> open = OpenZones(view);
   return std::none_of(open.begin(), open.end(),
                       [this](const ZonePrice& other) { return IsDry(other.zone); });
@@ -267,7 +267,7 @@
 
 void CapacityPlanner::OnOrdered(const EngineOrder& order, OrderOutcome outcome, TimePoint now) {
   Line& line = LineOf(order.zone, order.kind);
-  if (outcome != OrderOutcome::kUnknown) line.is_dry = outcome == OrderOutcome::kNoneToBeHad;
+  if (outcome != OrderOutcome::kUnknown) line.is_dry = outcome == OrderOutcome::kNoCapacity;
   line.ordered = order.engines;
   line.ordered_at = now;
 }
--- a/libs/duties/src/fleet_clock.cc
+++ b/libs/duties/src/fleet_clock.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void FleetClock::NotePeer(const std::string& host, WallTime wall, TimePoint now) {
+void FleetClock::AddPeerReading(const std::string& host, WallTime wall, TimePoint now) {
   if (wall.count() <= 0) return;  // of a node that does not tell
   std::erase_if(readings_,
                 [now](const auto& entry) { return now - entry.second.noted > kReadingHolds; });
@@ -26,7 +26,7 @@
   readings_[host] = {OffsetOf(wall, now), now};
 }
 
-void FleetClock::NoteOwn(WallTime wall, TimePoint now) { NotePeer("", wall, now); }
+void FleetClock::AddOwnReading(WallTime wall, TimePoint now) { AddPeerReading("", wall, now); }
 
 WallTime FleetClock::At(TimePoint now) const {
   if (readings_.empty()) return {};
--- a/libs/duties/src/usage_collector.cc
+++ b/libs/duties/src/usage_collector.cc
@@ -21,14 +21,14 @@
   }
 }
 
-bool UsageCollector::HasAllOf(const UsageSource& source, WindowNumber window) const {
+bool UsageCollector::HasCompleteCounts(const UsageSource& source, WindowNumber window) const {
   const auto sources = windows_.find(window);
   if (sources == windows_.end()) return false;
   const auto told = sources->second.find(source);
   return told != sources->second.end() && told->second.IsWhole();
 }
 
-std::set<std::string> UsageCollector::Heard(WindowNumber window) const {
+std::set<std::string> UsageCollector::ReportingHosts(WindowNumber window) const {
   std::set<std::string> hosts;
   const auto sources = windows_.find(window);
   if (sources == windows_.end()) return hosts;
@@ -36,7 +36,7 @@
   return hosts;
 }
 
-std::set<std::string> UsageCollector::Complete(WindowNumber window) const {
+std::set<std::string> UsageCollector::CompleteHosts(WindowNumber window) const {
   std::set<std::string> hosts;
   const auto sources = windows_.find(window);
   if (sources == windows_.end()) return hosts;
--- a/libs/duties/src/usage_record.cc
+++ b/libs/duties/src/usage_record.cc
@@ -8,11 +8,11 @@
 
 namespace cartsail {
 
-std::string KeyOfUsageRecord(WindowNumber window) {
+std::string UsageRecordKey(WindowNumber window) {
   return fmt::format("{}{}", kUsageRecordPrefix, window);
 }
 
-WindowNumber WindowOfUsageRecord(std::string_view key) {
+WindowNumber UsageRecordWindow(std::string_view key) {
   return std::strtoll(std::string(key.substr(kUsageRecordPrefix.size())).c_str(), nullptr, 10);
 }
 
--- a/libs/duties/tests/capacity_drain_test.cc
+++ b/libs/duties/tests/capacity_drain_test.cc
@@ -31,8 +31,8 @@
   policy.reserve = 2;
   policy.full_price_reserve = 1.2;
   policy.first_cost_share = 0.1;
-  policy.memory = seconds(20);
-  policy.target_slots_taken = 0.5;
+  policy.demand_half_life = seconds(20);
+  policy.target_utilization = 0.5;
   return policy;
 }
 
--- a/libs/duties/tests/capacity_planner_test.cc
+++ b/libs/duties/tests/capacity_planner_test.cc
@@ -30,9 +30,9 @@
   policy.reserve = 2;
   policy.full_price_reserve = 1.2;
   policy.first_cost_share = 0.11;  // half of the most, at a fifth of the price
-  policy.memory = seconds(20);
+  policy.demand_half_life = seconds(20);
   policy.full_price_base = 1;
-  policy.target_slots_taken = 0.5;
+  policy.target_utilization = 0.5;
   return policy;
 }
 
@@ -124,7 +124,7 @@
 Test(capacity_planner, engines_at_the_full_price_make_room_where_the_most_is_wanted) {
   CapacityPolicy policy = Policy();
   policy.first_cost_share = 1;
-  policy.memory = seconds(3600);
+  policy.demand_half_life = seconds(3600);
   Fleet fleet(policy);
   fleet.Run(seconds(40), 200);
   cr_assert(fleet.platform.Engines(fleet.now) >= 4 * Scaling().most - 4);
--- a/libs/duties/tests/fleet_clock_test.cc
+++ b/libs/duties/tests/fleet_clock_test.cc
@@ -13,10 +13,10 @@
 
 Test(fleet_clock, clocks_that_are_off_on_less_than_half_of_the_nodes_have_no_effect) {
   FleetClock clock;
-  clock.NoteOwn(kTrue + seconds(6), kNow);
+  clock.AddOwnReading(kTrue + seconds(6), kNow);
   for (int node = 0; node < 10; ++node) {
     const WallTime off = node < 4 ? WallTime(seconds(5)) : WallTime(node);
-    clock.NotePeer("n" + std::to_string(node), kTrue + off, kNow);
+    clock.AddPeerReading("n" + std::to_string(node), kTrue + off, kNow);
   }
   const WallTime error = clock.At(kNow) - kTrue;
   cr_assert(error >= WallTime(0) && error <= WallTime(10));
@@ -24,22 +24,22 @@
 
 Test(fleet_clock, time_goes_on_by_the_monotonic_clock) {
   FleetClock clock;
-  clock.NoteOwn(kTrue, kNow);
+  clock.AddOwnReading(kTrue, kNow);
   cr_assert(clock.At(kNow + seconds(3)) == kTrue + seconds(3));
 }
 
 Test(fleet_clock, a_clock_that_jumps_back_is_believed_again_once_it_is_heard) {
   FleetClock clock;
-  for (const char* host : {"a", "b", "c"}) clock.NotePeer(host, kTrue + seconds(4), kNow);
+  for (const char* host : {"a", "b", "c"}) clock.AddPeerReading(host, kTrue + seconds(4), kNow);
   for (const char* host : {"a", "b", "c"})
-    clock.NotePeer(host, kTrue + seconds(1), kNow + seconds(1));
+    clock.AddPeerReading(host, kTrue + seconds(1), kNow + seconds(1));
   cr_assert(clock.At(kNow + seconds(1)) == kTrue + seconds(1));
 }
 
 Test(fleet_clock, a_node_that_tells_no_time_is_not_counted) {
   FleetClock clock;
-  clock.NoteOwn(kTrue, kNow);
-  for (const char* host : {"a", "b", "c"}) clock.NotePeer(host, WallTime(0), kNow);
+  clock.AddOwnReading(kTrue, kNow);
+  for (const char* host : {"a", "b", "c"}) clock.AddPeerReading(host, WallTime(0), kNow);
   cr_assert(clock.At(kNow) == kTrue);
 }
 
--- a/libs/duties/tests/support/engine_platform.cc
+++ b/libs/duties/tests/support/engine_platform.cc
@@ -28,7 +28,7 @@
     return OrderOutcome::kUnknown;
   }
   if (grows && order.kind == EngineKind::kReclaimable && dry_[order.zone]) {
-    return OrderOutcome::kNoneToBeHad;
+    return OrderOutcome::kNoCapacity;
   }
   CarryOut(order, now);
   return OrderOutcome::kAccepted;
--- a/libs/duties/tests/usage_collector_test.cc
+++ b/libs/duties/tests/usage_collector_test.cc
@@ -38,19 +38,19 @@
   UsageCollector collector;
   const UsageSource source{"a", 1};
   collector.Merge(source, ShareOf({{"x", 4}}, 7, true));
-  cr_assert(!collector.HasAllOf(source, kWindow));
-  cr_assert(collector.Heard(kWindow).contains("a"));
+  cr_assert(!collector.HasCompleteCounts(source, kWindow));
+  cr_assert(collector.ReportingHosts(kWindow).contains("a"));
   collector.Merge(source, ShareOf({{"y", 3}}, 7, true));
-  cr_assert(collector.HasAllOf(source, kWindow));
-  cr_assert(collector.Complete(kWindow).contains("a"));
+  cr_assert(collector.HasCompleteCounts(source, kWindow));
+  cr_assert(collector.CompleteHosts(kWindow).contains("a"));
 }
 
 Test(usage_collector, a_node_without_requests_is_whole_once_it_says_so) {
   UsageCollector collector;
   collector.Merge({"a", 1}, ShareOf({}, 0, false));
-  cr_assert(!collector.HasAllOf({"a", 1}, kWindow));
+  cr_assert(!collector.HasCompleteCounts({"a", 1}, kWindow));
   collector.Merge({"a", 1}, ShareOf({}, 0, true));
-  cr_assert(collector.HasAllOf({"a", 1}, kWindow));
+  cr_assert(collector.HasCompleteCounts({"a", 1}, kWindow));
 }
 
 Test(usage_ledger, requests_count_in_their_window_and_old_windows_go) {
@@ -65,7 +65,7 @@
 }
 
 Test(usage_window, windows_are_numbered_from_1970) {
-  const UsageTerms terms{std::chrono::milliseconds(5000), std::chrono::milliseconds(10000)};
+  const UsageSchedule terms{std::chrono::milliseconds(5000), std::chrono::milliseconds(10000)};
   cr_assert(WindowAt(WallTime(1'767'225'600'000), terms) == 353445120);
   cr_assert(EndOf(353445120, terms) == WallTime(1'767'225'605'000));
 }
--- a/libs/gateway/src/backend_work.cc
+++ b/libs/gateway/src/backend_work.cc
@@ -104,7 +104,7 @@
       break;
     case ClaimVerdict::kLost:
       holder_stream_ = result.holder.engine + "." + result.holder.attempt;
-      co_return MakeError(ErrorKind::kKeyInUse, "this Idempotency-Key was used before");
+      co_return MakeError(ErrorKind::kIdempotencyKeyInUse, "this Idempotency-Key was used before");
     case ClaimVerdict::kUndecided:
       // The record may exist; this attempt will not run, so it is withdrawn.
       WithdrawClaim();
@@ -143,7 +143,7 @@
   Failure failure;
   failure.status = std::move(status);
   const ErrorKind kind = KindOf(failure.status);
-  const bool unknown = may_have_started_ || kind == ErrorKind::kKeyInUse;
+  const bool unknown = may_have_started_ || kind == ErrorKind::kIdempotencyKeyInUse;
   failure.outcome = unknown ? Outcome::kUnknown : Outcome::kNotRun;
   failure.stream = holder_stream_;
   if (kind == ErrorKind::kPlatformUnavailable) {
--- a/libs/gateway/src/caller.cc
+++ b/libs/gateway/src/caller.cc
@@ -64,7 +64,7 @@
   caller->policy = std::move(*policy);
   caller->idempotency_key = request.Header("Idempotency-Key");
   if (!caller->policy->repeatable && caller->idempotency_key.empty()) {
-    return MakeError(ErrorKind::kKeyRequired,
+    return MakeError(ErrorKind::kIdempotencyKeyRequired,
                      "this class may not run twice: send an Idempotency-Key");
   }
   if (caller->idempotency_key.size() > kLongestIdempotencyKey) {
--- a/libs/gateway/src/caller.h
+++ b/libs/gateway/src/caller.h
@@ -31,7 +31,7 @@
   absl::StatusOr<Caller> Authenticate(const HttpRequest& request);
 
   // Also finds the class named by the headers (`service` overrides X-Service). kUnknownService,
-  // kUnknownClass, kKeyRequired.
+  // kUnknownClass, kIdempotencyKeyRequired.
   absl::StatusOr<Caller> Resolve(const HttpRequest& request, std::string service = {});
 
  private:
--- a/libs/relay/include/cartsail/relay/duty_options.h
+++ b/libs/relay/include/cartsail/relay/duty_options.h
@@ -10,8 +10,8 @@
 struct DutyOptions {
   bool reports_usage = false;
   bool orders_engines = false;
-  LeaseTerms lease;
-  UsageTerms usage;
+  LeaseTiming lease;
+  UsageSchedule usage;
   CapacityPolicy capacity;
 };
 
--- a/libs/relay/src/duties/duty_holder.cc
+++ b/libs/relay/src/duties/duty_holder.cc
@@ -34,7 +34,7 @@
 }  // namespace
 
 DutyHolder::DutyHolder(asio::io_context& io, KeyValueStore& store, std::string key,
-                       LeaseTerms terms, Candidacy candidacy)
+                       LeaseTiming terms, Candidacy candidacy)
     : io_(io),
       store_(store),
       key_(std::move(key)),
@@ -93,7 +93,7 @@
   const absl::Status status = co_await store_.KeepLease(store_lease);
   if (store_lease != store_lease_) co_return;
   if (status.ok()) {
-    lease_.Renewed(asked);
+    lease_.OnRenewed(asked);
     renewed_ = asked;
   } else if (KindOf(status) == ErrorKind::kConflict) {
     Lose("lease_gone");
@@ -181,7 +181,7 @@
 }
 
 void DutyHolder::Win(FencingToken token, TimePoint asked) {
-  lease_.Won(token, asked);
+  lease_.OnAcquired(token, asked);
   renewed_ = asked;
   outranked_since_ = Now();
   free_since_.reset();
@@ -189,7 +189,7 @@
 }
 
 void DutyHolder::Lose(std::string_view why) {
-  lease_.Lost();
+  lease_.OnLost();
   store_lease_ = 0;
   Log(LogLevel::kWarning, "duty_lost", {{"duty", key_}, {"why", std::string(why)}});
 }
--- a/libs/relay/src/duties/duty_holder.h
+++ b/libs/relay/src/duties/duty_holder.h
@@ -28,7 +28,7 @@
   };
 
   // `key`: of the record.
-  DutyHolder(boost::asio::io_context& io, KeyValueStore& store, std::string key, LeaseTerms terms,
+  DutyHolder(boost::asio::io_context& io, KeyValueStore& store, std::string key, LeaseTiming terms,
              Candidacy candidacy);
 
   // Runs until the process ends.
@@ -66,7 +66,7 @@
   boost::asio::io_context& io_;
   KeyValueStore& store_;
   std::string key_;
-  LeaseTerms terms_;
+  LeaseTiming terms_;
   Candidacy candidacy_;
   HolderLease lease_;
   int64_t store_lease_ = 0;  // the record's lease in the store
--- a/libs/relay/src/duties/engine_ordering.cc
+++ b/libs/relay/src/duties/engine_ordering.cc
@@ -28,7 +28,7 @@
   switch (outcome) {
     case OrderOutcome::kAccepted:
       return "accepted";
-    case OrderOutcome::kNoneToBeHad:
+    case OrderOutcome::kNoCapacity:
       return "none_to_be_had";
     case OrderOutcome::kUnknown:
       return "unknown";
@@ -143,7 +143,7 @@
     GlobalCounters().engine_orders_total.Add();
     if (!status.ok()) {
       const bool is_refused = KindOf(status) == ErrorKind::kConflict;
-      outcome = is_refused ? OrderOutcome::kNoneToBeHad : OrderOutcome::kUnknown;
+      outcome = is_refused ? OrderOutcome::kNoCapacity : OrderOutcome::kUnknown;
       GlobalCounters().engine_orders_failed_total.Add();
       Log(LogLevel::kWarning, "engine_order_failed",
           {{"service", service},
--- a/libs/relay/src/duties/usage_counting.cc
+++ b/libs/relay/src/duties/usage_counting.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-UsageCounting::UsageCounting(const PeerTable& peers, UsageTerms terms, bool enabled)
+UsageCounting::UsageCounting(const PeerTable& peers, UsageSchedule terms, bool enabled)
     : peers_(peers), terms_(terms), enabled_(enabled), process_(std::random_device{}()) {}
 
 void UsageCounting::NoteRun(const std::string& tenant, TimePoint now) {
@@ -87,7 +87,7 @@
 
 void UsageCounting::Tick(TimePoint now, WallTime wall) {
   if (!enabled_) return;
-  clock_.NoteOwn(wall, now);
+  clock_.AddOwnReading(wall, now);
   const WindowNumber first = FirstKept(now);
   ledger_.ForgetBefore(first);
   collector_.ForgetBefore(first);
@@ -109,9 +109,9 @@
   UsageReceipt receipt{shares.process, {}};
   for (const UsageShare& share : shares.shares) {
     if (share.window < first) continue;
-    const bool is_new = !collector_.HasAllOf(source, share.window);
+    const bool is_new = !collector_.HasCompleteCounts(source, share.window);
     collector_.Merge(source, share);
-    if (!collector_.HasAllOf(source, share.window)) continue;
+    if (!collector_.HasCompleteCounts(source, share.window)) continue;
     receipt.windows.push_back(share.window);
     if (!is_new || !reported_.contains(share.window) || share.requests == 0) continue;
     GlobalCounters().usage_late_requests_total.Add(share.requests);
--- a/libs/relay/src/duties/usage_counting.h
+++ b/libs/relay/src/duties/usage_counting.h
@@ -30,7 +30,7 @@
   };
 
   // Without `enabled` nothing is counted or sent.
-  UsageCounting(const PeerTable& peers, UsageTerms terms, bool enabled);
+  UsageCounting(const PeerTable& peers, UsageSchedule terms, bool enabled);
 
   void SetTransport(Transport transport) { transport_ = std::move(transport); }
 
@@ -63,7 +63,7 @@
   void SendShares(const std::string& host, const std::vector<UsageShare>& shares);
 
   const PeerTable& peers_;
-  UsageTerms terms_;
+  UsageSchedule terms_;
   bool enabled_;
   Transport transport_;
   uint32_t process_;
--- a/libs/relay/src/duties/usage_reporter.cc
+++ b/libs/relay/src/duties/usage_reporter.cc
@@ -83,7 +83,7 @@
   PassOver(now);
   const WindowNumber first = counting_.FirstKept(now);
   for (const KeyValue& item : result->kvs) {
-    const WindowNumber window = WindowOfUsageRecord(item.key);
+    const WindowNumber window = UsageRecordWindow(item.key);
     if (window < first || ended_.contains(window)) continue;
     reports_.emplace(window, WindowReport(DecodeUsageRecord(item.value), true));
   }
@@ -118,12 +118,12 @@
 // True when all nodes that are live, and those that told of the window before they were lost, have
 // told all.
 bool UsageReporter::IsComplete(WindowNumber window, TimePoint now) const {
-  const std::set<std::string> complete = counting_.Collected().Complete(window);
+  const std::set<std::string> complete = counting_.Collected().CompleteHosts(window);
   if (!complete.contains("")) return false;
   for (const LivePeer& peer : peers_.LivePeers()) {
     if (!complete.contains(peer.host)) return false;
   }
-  for (const std::string& host : counting_.Collected().Heard(window)) {
+  for (const std::string& host : counting_.Collected().ReportingHosts(window)) {
     if (!complete.contains(host)) return false;
   }
   return true;
@@ -180,14 +180,14 @@
   held.key = holder_.Key();
   held.equals = token;
   Compare absent;
-  absent.key = KeyOfUsageRecord(window);
+  absent.key = UsageRecordKey(window);
   request.compares = {held, absent};
   Operation put;
   put.kind = Operation::Kind::kPut;
-  put.put = {KeyOfUsageRecord(window), EncodeUsageRecord(counts), 0};
+  put.put = {UsageRecordKey(window), EncodeUsageRecord(counts), 0};
   Operation remove;
   remove.kind = Operation::Kind::kDelete;
-  remove.range.key = KeyOfUsageRecord(window - kRecordsKept);
+  remove.range.key = UsageRecordKey(window - kRecordsKept);
   request.success = {put, remove};
   const absl::StatusOr<TxnResult> result = co_await store_.Txn(request);
   if (!result.ok()) co_return RecordOutcome::kUnknown;
@@ -198,7 +198,7 @@
   const std::optional<bool> holds = co_await holder_.Confirm();
   if (!holds.has_value()) co_return;
   RangeRequest request;
-  request.key = KeyOfUsageRecord(window);
+  request.key = UsageRecordKey(window);
   const absl::StatusOr<RangeResult> result = co_await store_.Range(request);
   if (!result.ok()) co_return;
   std::optional<TenantCounts> recorded;
--- a/libs/relay/src/duties/usage_reporter.h
+++ b/libs/relay/src/duties/usage_reporter.h
@@ -49,7 +49,7 @@
   UsageCounting& counting_;
   const PeerTable& peers_;
   std::string node_;
-  UsageTerms terms_;
+  UsageSchedule terms_;
   TimePoint started_;
   bool first_start_;  // of the whole system
   DutyHolder holder_;
--- a/libs/relay/src/fleet/peer_exchange.cc
+++ b/libs/relay/src/fleet/peer_exchange.cc
@@ -252,7 +252,7 @@
   const TimePoint now = Now();
   SendAll(gossip_.OnMessage(host, message, now, View(now)));
   catalog_.NotePeersHeard(gossip_.LastHeard());
-  context_.usage.Clock().NotePeer(host, message.wall, now);
+  context_.usage.Clock().AddPeerReading(host, message.wall, now);
   OnView(host, message.view, now);
 }
 
--- a/libs/relay/src/relay_node.cc
+++ b/libs/relay/src/relay_node.cc
@@ -84,7 +84,7 @@
         bridges_(io_, {{options.peer.host, options.BridgePort()}, BridgeMemory(options)},
                  context_.dispatcher, context_.paths, context_.pool),
         signals_(io_, SIGTERM, SIGINT, SIGHUP) {
-    ReleaseSignals();
+    UnblockSignals();
   }
 
   absl::Status Run() {
--- a/libs/relay/src/request/exchange.cc
+++ b/libs/relay/src/request/exchange.cc
@@ -168,7 +168,7 @@
   const bool takes_up = !last_event_id_.empty() || !resumes_.empty();
   if (follows_versions_ && takes_up && !co_await FindVersion()) {
     GlobalCounters().stream_take_ups_unknown_total.Add();
-    co_return co_await AnswerRefusal(ErrorKind::kStreamUnknown, kRetryAfterUnknownStream);
+    co_return co_await AnswerRefusal(ErrorKind::kStreamVersionUnknown, kRetryAfterUnknownStream);
   }
   while (true) {
     FollowDocument();
--- a/libs/relay/src/retries/retry_service.h
+++ b/libs/relay/src/retries/retry_service.h
@@ -30,7 +30,7 @@
 
 // Outlasts most silences of the store, since nobody may give the extra out without the lease; a
 // crash of its holder costs as much.
-inline constexpr LeaseTerms kRetryExtraLease{seconds(10), milliseconds(300)};
+inline constexpr LeaseTiming kRetryExtraLease{seconds(10), milliseconds(300)};
 
 class RetryService {
  public:
--- a/libs/relay/tests/duty_holder_test.cc
+++ b/libs/relay/tests/duty_holder_test.cc
@@ -19,7 +19,7 @@
 namespace asio = boost::asio;
 
 constexpr char kKey[] = "duty/test";
-constexpr LeaseTerms kTerms{seconds(3), milliseconds(300)};
+constexpr LeaseTiming kTerms{seconds(3), milliseconds(300)};
 
 struct Nodes {
   explicit Nodes(size_t count, bool first_start = true) : store(io) {
--- a/libs/relay/tests/support/budget_fleet.cc
+++ b/libs/relay/tests/support/budget_fleet.cc
@@ -67,10 +67,10 @@
   const bool is_free = record_.holder < 0 || now >= record_.expires;
   if (is_free) {
     record_ = {node, now + kRetryExtraLease.lease, record_.token + 1};
-    lease.Won(record_.token, now);
+    lease.OnAcquired(record_.token, now);
   } else if (record_.holder == node && lease.Token(now) == record_.token) {
     record_.expires = now + kRetryExtraLease.lease;
-    lease.Renewed(now);
+    lease.OnRenewed(now);
   }
 }
 
--- a/libs/relay/tests/support/log_capture.cc
+++ b/libs/relay/tests/support/log_capture.cc
@@ -12,7 +12,7 @@
 namespace cartsail::testing {
 namespace {
 
-constexpr Duration kLongestWait = seconds(5);
+constexpr Duration kMaxTimerWait = seconds(5);
 constexpr int kPollMs = 20;
 
 }  // namespace
@@ -35,7 +35,7 @@
 
 std::string LogCapture::LineOf(const std::string& event) {
   const std::string mark = " event=" + event + " ";
-  const TimePoint last = Now() + kLongestWait;
+  const TimePoint last = Now() + kMaxTimerWait;
   std::vector<char> buffer(1 << 16);
   while (Now() < last) {
     const size_t found = text_.find(mark);
--- a/libs/relay/tests/suspension_test.cc
+++ b/libs/relay/tests/suspension_test.cc
@@ -111,7 +111,7 @@
 
 // Another node may hold the duty by then: this one may not act before it has asked.
 Test(suspension, a_lease_that_ran_out_meanwhile_is_not_held) {
-  const LeaseTerms terms{seconds(3), milliseconds(300)};
+  const LeaseTiming terms{seconds(3), milliseconds(300)};
   boost::asio::io_context io;
   LeaseStore store(io);
   const auto first = []() -> std::optional<size_t> { return 0; };
--- a/libs/relay/tests/usage_counting_test.cc
+++ b/libs/relay/tests/usage_counting_test.cc
@@ -16,7 +16,7 @@
 
 // The time of day at the start of the monotonic clock.
 constexpr WallTime kStart{1'800'000'000'000};
-const UsageTerms kTerms{std::chrono::milliseconds(5000), std::chrono::milliseconds(10000)};
+const UsageSchedule kTerms{std::chrono::milliseconds(5000), std::chrono::milliseconds(10000)};
 
 // Nodes whose messages are delivered at once, unless `drop` says otherwise.
 struct CountingFleet {
@@ -115,7 +115,7 @@
   for (const CountingFleet::Node* candidate : fleet.Candidates()) {
     const UsageCollector& collected = candidate->counting.Collected();
     cr_assert(collected.Total(window) == TenantCounts({{"x", 12}, {"y", 12}}));
-    cr_assert(collected.Complete(window).size() == 12);
+    cr_assert(collected.CompleteHosts(window).size() == 12);
   }
 }
 
@@ -129,7 +129,7 @@
   fleet.Run(seconds(12));
   for (const CountingFleet::Node* candidate : fleet.Candidates()) {
     cr_assert(candidate->counting.Collected().Total(window) == TenantCounts({{"x", 6}}));
-    cr_assert(candidate->counting.Collected().Complete(window).size() == 6);
+    cr_assert(candidate->counting.Collected().CompleteHosts(window).size() == 6);
   }
 }
 
