--- a/libs/relay/include/cartsail/relay/admission.h
+++ b/libs/relay/include/cartsail/relay/admission.h
@@ -48,7 +48,8 @@
 
 // The data residency of an admitted request by `table`, which may be newer than the one by which it
 // was admitted, with `admitted`. What the newer one no longer knows binds as it did.
-Residency ResidencyIn(const RouteTable& table, const RequestHead& head, const Residency& admitted);
+Residency ReevaluateResidency(const RouteTable& table, const RequestHead& head,
+                              const Residency& admitted);
 
 // A view of the store older than `trusted_for` does not justify refusing unknown routes and keys:
 // the caller is told to come back then.
--- a/libs/relay/include/cartsail/relay/routing_state.h
+++ b/libs/relay/include/cartsail/relay/routing_state.h
@@ -29,7 +29,7 @@
   void Confirm(TimePoint now) { confirmed_ = now; }
 
   // A peer with the same document had the store's word at `then`.
-  void ConfirmBy(TimePoint then) { confirmed_ = std::max(confirmed_, then); }
+  void ConfirmFromPeer(TimePoint then) { confirmed_ = std::max(confirmed_, then); }
 
   // The store, or a peer that hears it, has answered within `limit`: refusing what the document
   // doesn't know is then justified.
--- a/libs/relay/src/catalog/catalog_reading.cc
+++ b/libs/relay/src/catalog/catalog_reading.cc
@@ -65,7 +65,7 @@
   if (IsLeftBehind(now) || now < reading_until_) return true;
   if (peers_.Peers().empty()) return true;  // no other node is known of
   if (IsAlone(now)) {
-    return Unconfirmed(now) > context_.document_limits.own_reading_when_unconfirmed;
+    return Unconfirmed(now) > context_.document_limits.direct_read_when_unconfirmed;
   }
   return HasReadingTurn(peers_.ReadingRank(now), peers_.LiveCount() + 1, Unconfirmed(now),
                         context_.document_limits);
@@ -73,7 +73,7 @@
 
 bool CatalogSync::IsLeftBehind(TimePoint now) const {
   if (!behind_since_.has_value()) return false;
-  return now - *behind_since_ >= context_.document_limits.own_reading_when_behind;
+  return now - *behind_since_ >= context_.document_limits.direct_read_when_behind;
 }
 
 void CatalogSync::NoteVersionElsewhere(int64_t version, TimePoint now) {
--- a/libs/relay/src/catalog/catalog_sync.cc
+++ b/libs/relay/src/catalog/catalog_sync.cc
@@ -173,7 +173,7 @@
   }
   if (!asked.has_value()) return;
   // What the list says held when it was asked for; the answer may have been long on its way.
-  context_.routing.ConfirmBy(*asked);
+  context_.routing.ConfirmFromPeer(*asked);
   if (revision_ >= revision) context_.streams.Processes().NoteListConfirmed(*asked);
   TellUpdate(revision_, *asked);
 }
@@ -235,7 +235,7 @@
 void CatalogSync::ConfirmByPeer(TimePoint then, TimePoint now) {
   const TimePoint heard = context_.routing.Confirmed();
   if (then > heard) grace_.NoteAnswer(heard, then, now);
-  context_.routing.ConfirmBy(then);
+  context_.routing.ConfirmFromPeer(then);
 }
 
 void CatalogSync::ApplyCatalog(const CatalogMessage& catalog, std::string_view source) {
@@ -308,7 +308,7 @@
     context_.routing.Confirm(now);
     context_.streams.Processes().NoteListConfirmed(watch_asked_);
     // The others are told as often as by watches that end without an event.
-    if (now - told_at_ >= context_.document_limits.least_watch) TellInTurn(now);
+    if (now - told_at_ >= context_.document_limits.min_watch) TellInTurn(now);
     return;
   }
   for (const WatchEvent& event : events) {
--- a/libs/relay/src/catalog/reading_duty.h
+++ b/libs/relay/src/catalog/reading_duty.h
@@ -22,10 +22,10 @@
 // peers. The number doubles with each third of the deadline for new documents beyond the first two.
 inline size_t ReadersNeeded(Duration unconfirmed, const DocumentLimits& limits) {
   size_t readers = kStoreReaders;
-  Duration limit = limits.own_reading_when_unconfirmed;
+  Duration limit = limits.direct_read_when_unconfirmed;
   while (unconfirmed > limit && readers < kMostStoreReaders) {
     readers *= 2;
-    limit += limits.own_reading_when_unconfirmed / 2;
+    limit += limits.direct_read_when_unconfirmed / 2;
   }
   return std::min(readers, kMostStoreReaders);
 }
@@ -36,8 +36,8 @@
                            const DocumentLimits& limits) {
   if (rank < ReadersNeeded(unconfirmed, limits)) return true;
   if (nodes <= kMostStoreReaders) return false;
-  const Duration turn = limits.own_reading_when_unconfirmed / 2;
-  const Duration at_limit = 2 * limits.own_reading_when_unconfirmed;
+  const Duration turn = limits.direct_read_when_unconfirmed / 2;
+  const Duration at_limit = 2 * limits.direct_read_when_unconfirmed;
   if (unconfirmed <= at_limit + turn) return false;
   const auto turns = static_cast<size_t>((unconfirmed - at_limit) / turn);
   const size_t others = nodes - kStoreReaders;
--- a/libs/relay/src/placement/cold_watch.cc
+++ b/libs/relay/src/placement/cold_backend_log.cc
@@ -1,4 +1,4 @@
-#include "placement/cold_watch.h"
+#include "placement/cold_backend_log.h"
 
 #include <fmt/format.h>
 
@@ -6,8 +6,8 @@
 
 namespace cartsail {
 
-void ColdWatch::NoteCold(const std::string& service, const std::vector<ColdBackEnd>& cold,
-                         TimePoint now) {
+void ColdBackendLog::NoteCold(const std::string& service, const std::vector<ColdBackEnd>& cold,
+                              TimePoint now) {
   SpellsById& before = services_[service];
   SpellsById after;
   for (const ColdBackEnd& entry : cold) {
@@ -31,7 +31,7 @@
   before = std::move(after);
 }
 
-void ColdWatch::NoteRefused(const std::string& service, Duration wait) {
+void ColdBackendLog::NoteRefused(const std::string& service, Duration wait) {
   GlobalCounters().metered_refusals_total.Add();
   if (!refusals_.Take(Now())) return;
   Log(LogLevel::kWarning, "metered_only",
--- a/libs/relay/src/placement/cold_watch.h
+++ b/libs/relay/src/placement/cold_backend_log.h
@@ -12,7 +12,7 @@
 
 namespace cartsail {
 
-class ColdWatch {
+class ColdBackendLog {
  public:
   // The cold back ends of `service` now: logs those that have become cold or warm.
   void NoteCold(const std::string& service, const std::vector<ColdBackEnd>& cold, TimePoint now);
--- a/libs/relay/src/placement/placement_service.cc
+++ b/libs/relay/src/placement/placement_service.cc
@@ -90,7 +90,7 @@
   // The coordinator knows best which back ends are metered.
   if (!result.metered_wait.has_value()) result = PlaceHere(profile, tried);
   if (result.metered_wait.has_value())
-    cold_watch_.NoteRefused(profile.service, *result.metered_wait);
+    cold_backend_log_.NoteRefused(profile.service, *result.metered_wait);
   co_return result;
 }
 
@@ -320,9 +320,9 @@
   for (const PlacementTicket ticket : grants_.TakeSilent(now)) dispatcher_.Drop(ticket, now);
   for (const std::string& service : dispatcher_.ServicesWithWarmUp()) {
     if (GrantsToCold(service, now)) {
-      cold_watch_.NoteCold(service, dispatcher_.ColdOf(service, now), now);
+      cold_backend_log_.NoteCold(service, dispatcher_.ColdOf(service, now), now);
     } else {
-      cold_watch_.Forget(service);
+      cold_backend_log_.Forget(service);
     }
   }
 }
--- a/libs/relay/src/placement/placement_service.h
+++ b/libs/relay/src/placement/placement_service.h
@@ -19,7 +19,7 @@
 #include "cartsail/dispatch/grant_book.h"
 #include "fleet/datagram.h"
 #include "fleet/peer_table.h"
-#include "placement/cold_watch.h"
+#include "placement/cold_backend_log.h"
 #include "upstream/upstream_pool.h"
 
 namespace cartsail {
@@ -126,7 +126,7 @@
   std::map<std::string, std::string> coordinators_;  // host by service, as last used
   std::map<std::string, ProgressReport> progress_;   // not sent yet, by host
   Timer progress_timer_;
-  ColdWatch cold_watch_;
+  ColdBackendLog cold_backend_log_;
   QuestionId next_question_;
 };
 
--- a/libs/relay/src/placement/warmth_inquiry.cc
+++ b/libs/relay/src/placement/warmup_prober.cc
@@ -1,4 +1,4 @@
-#include "placement/warmth_inquiry.h"
+#include "placement/warmup_prober.h"
 
 #include <absl/strings/numbers.h>
 #include <fmt/format.h>
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-HealthAnswer HealthAnswerIn(const HttpResponse& response, std::string_view id,
-                            const WireNames& names) {
+HealthAnswer ParseHealthAnswer(const HttpResponse& response, std::string_view id,
+                               const WireNames& names) {
   HealthAnswer answer;
   const std::string_view instance = FindHeader(response.headers, names.instance);
   answer.is_of_another = !instance.empty() && instance != id;
@@ -48,9 +48,9 @@
   return answer;
 }
 
-void WarmthInquiry::Start() { asio::co_spawn(context_.io, Watch(), asio::detached); }
+void WarmupProber::Start() { asio::co_spawn(context_.io, Watch(), asio::detached); }
 
-asio::awaitable<void> WarmthInquiry::Watch() {
+asio::awaitable<void> WarmupProber::Watch() {
   Timer timer(context_.io);
   while (true) {
     timer.expires_after(context_.dispatcher.HasLostBackEnds() ? kInterval : kIdleInterval);
@@ -60,7 +60,7 @@
   }
 }
 
-void WarmthInquiry::AskDue(TimePoint now) {
+void WarmupProber::AskDue(TimePoint now) {
   Dispatcher& dispatcher = context_.dispatcher;
   for (const std::string& service : dispatcher.ServicesWithWarmUp()) {
     if (asking_ >= kMostAtOnce || !context_.placement.GrantsToCold(service, now)) continue;
@@ -73,7 +73,7 @@
   }
 }
 
-asio::awaitable<void> WarmthInquiry::Ask(Backend backend, std::string path) {
+asio::awaitable<void> WarmupProber::Ask(Backend backend, std::string path) {
   GlobalCounters().warmth_questions_total.Add();
   HttpRequest request;
   request.method = "GET";
@@ -87,7 +87,7 @@
   HealthAnswer answer;
   if (response.ok()) {
     NoteAnswer(context_, backend, {response->status, response->headers, asked});
-    answer = HealthAnswerIn(*response, backend.id, context_.format.Names());
+    answer = ParseHealthAnswer(*response, backend.id, context_.format.Names());
     NoteHealth(backend, answer, asked);
   }
   if (!lines_.Take(Now())) co_return;
@@ -100,8 +100,7 @@
        {"why", std::string(response.status().message())}});
 }
 
-void WarmthInquiry::NoteHealth(const Backend& backend, const HealthAnswer& answer,
-                               TimePoint asked) {
+void WarmupProber::NoteHealth(const Backend& backend, const HealthAnswer& answer, TimePoint asked) {
   Dispatcher& dispatcher = context_.dispatcher;
   // As by a request that another one turned away: the process that had this name has ended.
   if (answer.is_of_another) dispatcher.Registry().MarkLeaving(backend.key);
--- a/libs/relay/src/placement/warmth_inquiry.h
+++ b/libs/relay/src/placement/warmup_prober.h
@@ -21,12 +21,12 @@
   std::optional<Duration> cold_left;
 };
 
-HealthAnswer HealthAnswerIn(const HttpResponse& response, std::string_view id,
-                            const WireNames& names);
+HealthAnswer ParseHealthAnswer(const HttpResponse& response, std::string_view id,
+                               const WireNames& names);
 
-class WarmthInquiry {
+class WarmupProber {
  public:
-  explicit WarmthInquiry(RelayContext& context) : context_(context) {}
+  explicit WarmupProber(RelayContext& context) : context_(context) {}
 
   // Runs until the process ends.
   void Start();
--- a/libs/relay/src/relay_context.h
+++ b/libs/relay/src/relay_context.h
@@ -18,7 +18,7 @@
 #include "fleet/peer_table.h"
 #include "placement/placement_service.h"
 #include "quarantine/quarantine_service.h"
-#include "request/held_memory.h"
+#include "request/memory_budget.h"
 #include "retries/retry_service.h"
 #include "streams/stream_service.h"
 #include "upstream/path_service.h"
@@ -28,10 +28,10 @@
 
 // Of the process's memory, for requests and answers. The rest is for what the node knows of the
 // fleet, and for what the allocator leaves unused between large and small blocks.
-inline constexpr double kHeldShare = 0.4;
+inline constexpr double kRequestMemoryShare = 0.4;
 
-inline int64_t HeldLimit(const RelayOptions& options) {
-  return static_cast<int64_t>(kHeldShare * static_cast<double>(options.memory_bytes));
+inline int64_t RequestMemoryLimit(const RelayOptions& options) {
+  return static_cast<int64_t>(kRequestMemoryShare * static_cast<double>(options.memory_bytes));
 }
 
 struct RelayContext {
@@ -40,7 +40,7 @@
       : io(io_context),
         options(relay_options),
         // One reading of the store serves both: the nearer deadline decides how it is kept up.
-        document_limits(LimitsWithin(
+        document_limits(DocumentLimitsFor(
             std::min(relay_options.document_deadline, relay_options.zone_drain_deadline))),
         format(wire_format),
         dispatcher(relay_options.placement, relay_options.zone,
@@ -48,7 +48,7 @@
                    static_cast<uint32_t>(Hash64(relay_options.node_id))),
         peers({relay_options.node_id, relay_options.zone, false, relay_options.capacity, {}},
               Now()),
-        held(std::make_shared<HeldMemory>(HeldLimit(relay_options))),
+        request_memory(std::make_shared<MemoryBudget>(RequestMemoryLimit(relay_options))),
         pool(io_context.get_executor()),
         paths(io_context, options.connect_timeout, relay_options.BridgePort(), dispatcher, peers,
               pool),
@@ -61,15 +61,15 @@
         usage(peers, relay_options.duties.usage, relay_options.duties.reports_usage),
         retries(io_context, peers, relay_options.retry_budget),
         streams(io_context, peers, dispatcher.Registry(), routing,
-                document_limits.refusing_unknown) {
-    pool.SetMostIdle([this](BackendKey backend) { return MostIdleTo(backend); });
+                document_limits.max_age_to_refuse_unknown) {
+    pool.SetMostIdle([this](BackendKey backend) { return MaxIdleConnectionsTo(backend); });
   }
 
   // The node knows the routing document and some back ends.
   bool HasCatalog() const { return routing.Table() != nullptr && dispatcher.Registry().Size() > 0; }
 
   // Idle connections that this node keeps to the back end.
-  size_t MostIdleTo(BackendKey backend) const {
+  size_t MaxIdleConnectionsTo(BackendKey backend) const {
     const Backend* known = dispatcher.Registry().FindByKey(backend);
     if (known == nullptr || routing.Table() == nullptr) return kMostIdleConnections;
     const ServiceRule* service = routing.Table()->FindService(known->service);
@@ -84,7 +84,7 @@
   RoutingState routing;
   Dispatcher dispatcher;
   PeerTable peers;
-  std::shared_ptr<HeldMemory> held;
+  std::shared_ptr<MemoryBudget> request_memory;
   UpstreamPool pool;
   PathService paths;
   PlacementService placement;
--- a/libs/relay/src/relay_node.cc
+++ b/libs/relay/src/relay_node.cc
@@ -27,7 +27,7 @@
 #include "fleet/peer_exchange.h"
 #include "fleet/traffic_log.h"
 #include "placement/cache_inventory.h"
-#include "placement/warmth_inquiry.h"
+#include "placement/warmup_prober.h"
 #include "quarantine/quarantine_recorder.h"
 #include "request/relay_server.h"
 #include "status/drain_alarm.h"
@@ -60,9 +60,9 @@
 }
 
 Duration WatchWait(const DocumentLimits& limits, const std::string& node_id) {
-  const auto spread = std::chrono::duration_cast<milliseconds>(limits.watch_spread);
+  const auto spread = std::chrono::duration_cast<milliseconds>(limits.watch_jitter);
   const int64_t spread_ms = std::max<int64_t>(1, spread.count());
-  return limits.least_watch + milliseconds(Hash64(node_id) % static_cast<uint64_t>(spread_ms));
+  return limits.min_watch + milliseconds(Hash64(node_id) % static_cast<uint64_t>(spread_ms));
 }
 
 class RelayNode {
@@ -180,7 +180,7 @@
     counters.ready.Set(IsReady() ? 1 : 0);
     counters.backends_known.Set(static_cast<int64_t>(context_.dispatcher.Registry().Size()));
     counters.requests_followed.Set(static_cast<int64_t>(context_.placement.Followed()));
-    counters.held_bytes.Set(context_.held->Total());
+    counters.held_bytes.Set(context_.request_memory->Total());
     counters.paths_cut.Set(static_cast<int64_t>(context_.paths.CutPaths()));
     counters.bridges_in_use.Set(static_cast<int64_t>(bridges_.InUse()));
     counters.members_live.Set(static_cast<int64_t>(context_.peers.LiveCount()) + 1);
@@ -389,7 +389,7 @@
   DutyHolder retry_extra_;
   PeerExchange exchange_;
   CacheInventory inventory_;
-  WarmthInquiry warmth_;
+  WarmupProber warmth_;
   ResidencyAudit residency_audit_;
   RelayServer server_;
   BridgeServer bridges_;
--- a/libs/relay/src/request/admission.cc
+++ b/libs/relay/src/request/admission.cc
@@ -63,7 +63,8 @@
 
 }  // namespace
 
-Residency ResidencyIn(const RouteTable& table, const RequestHead& head, const Residency& admitted) {
+Residency ReevaluateResidency(const RouteTable& table, const RequestHead& head,
+                              const Residency& admitted) {
   const RouteRule* route = table.FindRoute(head.host, PathOf(head.target));
   const std::string_view key = BearerKey(head.authorization);
   const TenantRule* tenant = table.FindTenant(key);
--- a/libs/relay/src/request/answer_notices.cc
+++ b/libs/relay/src/request/answer_notices.cc
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-BackendNotice NoticeIn(int status, const HttpHeaders& headers, const WireNames& names) {
+BackendNotice ParseNotice(int status, const HttpHeaders& headers, const WireNames& names) {
   BackendNotice notice;
   if (status == kMisdirected) return notice;
   notice.leaving = !FindHeader(headers, names.leaving).empty();
@@ -56,27 +56,27 @@
   return notice;
 }
 
-std::optional<RateWord> RateWordIn(const NoticedAnswer& answer, const WireNames& names) {
+std::optional<RateWord> ParseRateLimit(const NoticedAnswer& answer, const WireNames& names) {
   return WordIn(answer, names.rate_limit, names);
 }
 
-std::optional<RateWord> BrittleWordIn(const NoticedAnswer& answer, const WireNames& names) {
+std::optional<RateWord> ParseBrittleLimit(const NoticedAnswer& answer, const WireNames& names) {
   return WordIn(answer, names.brittle, names);
 }
 
 void NoteAnswer(RelayContext& context, const Backend& backend, const NoticedAnswer& answer) {
   const auto& [status, headers, asked] = answer;
-  std::optional<RateWord> word = RateWordIn(answer, context.format.Names());
+  std::optional<RateWord> word = ParseRateLimit(answer, context.format.Names());
   if (word.has_value()) {
     word->read = {Now(), WallNow()};
     NoteRate(context.dispatcher, backend.key, *word, "answer");
   }
-  std::optional<RateWord> brittle = BrittleWordIn(answer, context.format.Names());
+  std::optional<RateWord> brittle = ParseBrittleLimit(answer, context.format.Names());
   if (brittle.has_value()) {
     brittle->read = {Now(), WallNow()};
     NoteBrittle(context.dispatcher, backend.key, *brittle, "answer");
   }
-  BackendNotice notice = NoticeIn(status, headers, context.format.Names());
+  BackendNotice notice = ParseNotice(status, headers, context.format.Names());
   notice.told = WallNow();
   const NoticeChange change = context.dispatcher.NoteNotice(backend.key, notice, Now());
   context.dispatcher.Registry().NoteSuccessor(backend);
--- a/libs/relay/src/request/answer_notices.h
+++ b/libs/relay/src/request/answer_notices.h
@@ -17,15 +17,15 @@
 
 // Of an answer with this status and these headers, without the time. An answer by another process
 // than the one that was meant (421) says nothing of that one.
-BackendNotice NoticeIn(int status, const HttpHeaders& headers, const WireNames& names);
+BackendNotice ParseNotice(int status, const HttpHeaders& headers, const WireNames& names);
 
 // What the answer says of the rate that its back end takes, without the time at which it was read.
 // Nothing: it says nothing of it. Only an answer of a run, which carries a signature, says that
 // there is no bound by not naming one.
-std::optional<RateWord> RateWordIn(const NoticedAnswer& answer, const WireNames& names);
+std::optional<RateWord> ParseRateLimit(const NoticedAnswer& answer, const WireNames& names);
 
 // The same of the requests a second that a brittle back end bears to turn away.
-std::optional<RateWord> BrittleWordIn(const NoticedAnswer& answer, const WireNames& names);
+std::optional<RateWord> ParseBrittleLimit(const NoticedAnswer& answer, const WireNames& names);
 
 // To be called for the head of every answer of `backend`, as soon as it is read.
 void NoteAnswer(RelayContext& context, const Backend& backend, const NoticedAnswer& answer);
--- a/libs/relay/src/request/answer_writer.cc
+++ b/libs/relay/src/request/answer_writer.cc
@@ -23,7 +23,7 @@
 }  // namespace
 
 AnswerWriter::AnswerWriter(asio::io_context& io, std::shared_ptr<CallerConnection> caller,
-                           std::shared_ptr<HeldRequest> held)
+                           std::shared_ptr<RequestMemory> held)
     : io_(io), caller_(std::move(caller)), held_(std::move(held)), progress_(io) {
   progress_.expires_at(TimePoint::max());
 }
--- a/libs/relay/src/request/answer_writer.h
+++ b/libs/relay/src/request/answer_writer.h
@@ -12,7 +12,7 @@
 #include "cartsail/base/timer.h"
 #include "request/byte_blocks.h"
 #include "request/caller_connection.h"
-#include "request/held_memory.h"
+#include "request/memory_budget.h"
 
 namespace cartsail {
 
@@ -20,7 +20,7 @@
  public:
   // `held` outlives the writing: Finish() is to be awaited, or the connection closed.
   AnswerWriter(boost::asio::io_context& io, std::shared_ptr<CallerConnection> caller,
-               std::shared_ptr<HeldRequest> held);
+               std::shared_ptr<RequestMemory> held);
 
   // Takes the bytes; waits while the caller is far behind. False when the caller has gone or takes
   // nothing for long.
@@ -41,7 +41,7 @@
 
   boost::asio::io_context& io_;
   std::shared_ptr<CallerConnection> caller_;
-  std::shared_ptr<HeldRequest> held_;
+  std::shared_ptr<RequestMemory> held_;
   ByteBlocks waiting_;  // after `writing_`
   std::string writing_;
   size_t written_ = 0;  // of `writing_`
--- a/libs/relay/src/request/gathered_body.h
+++ b/libs/relay/src/request/buffered_body.h
@@ -10,16 +10,16 @@
 
 #include "cartsail/base/clock.h"
 #include "request/byte_blocks.h"
-#include "request/held_memory.h"
+#include "request/memory_budget.h"
 
 namespace cartsail {
 
-class GatheredBody {
+class BufferedBody {
  public:
-  explicit GatheredBody(std::shared_ptr<HeldRequest> held) : held_(std::move(held)) {}
-  ~GatheredBody() { held_->Free(reserved_); }
-  GatheredBody(const GatheredBody&) = delete;
-  GatheredBody& operator=(const GatheredBody&) = delete;
+  explicit BufferedBody(std::shared_ptr<RequestMemory> held) : held_(std::move(held)) {}
+  ~BufferedBody() { held_->Free(reserved_); }
+  BufferedBody(const BufferedBody&) = delete;
+  BufferedBody& operator=(const BufferedBody&) = delete;
 
   // Keeps the piece. False when no more is to be kept: there is no room for it, or it is large.
   bool Append(std::string_view piece, TimePoint now) {
@@ -44,7 +44,7 @@
  private:
   static constexpr size_t kMostBytes = size_t{256} << 10;  // larger answers are passed on in pieces
 
-  std::shared_ptr<HeldRequest> held_;
+  std::shared_ptr<RequestMemory> held_;
   ByteBlocks bytes_;
   int64_t reserved_ = 0;
 };
--- a/libs/relay/src/request/byte_blocks.h
+++ b/libs/relay/src/request/byte_blocks.h
@@ -12,17 +12,17 @@
 
 class ByteBlocks {
  public:
-  static constexpr size_t kMostBlockBytes = size_t{16} << 10;
+  static constexpr size_t kMaxBlockBytes = size_t{16} << 10;
 
   void Append(std::string_view bytes) {
     size_ += bytes.size();
     while (!bytes.empty()) {
-      if (blocks_.empty() || blocks_.back().size() == kMostBlockBytes) blocks_.emplace_back();
+      if (blocks_.empty() || blocks_.back().size() == kMaxBlockBytes) blocks_.emplace_back();
       std::string& last = blocks_.back();
-      const std::string_view piece = bytes.substr(0, kMostBlockBytes - last.size());
+      const std::string_view piece = bytes.substr(0, kMaxBlockBytes - last.size());
       // One that gets more than a few bytes soon gets all that it can hold.
       if (last.capacity() < last.size() + piece.size() && !last.empty()) {
-        last.reserve(kMostBlockBytes);
+        last.reserve(kMaxBlockBytes);
       }
       last.append(piece);
       bytes.remove_prefix(piece.size());
--- a/libs/relay/src/request/caller_connection.cc
+++ b/libs/relay/src/request/caller_connection.cc
@@ -163,7 +163,7 @@
   return std::nullopt;
 }
 
-void CallerConnection::WatchGone(std::function<void()> on_gone) {
+void CallerConnection::WatchForClose(std::function<void()> on_gone) {
   on_gone_ = std::move(on_gone);
   const uint64_t watch = ++watch_;
   stream_.socket().async_wait(
@@ -189,7 +189,7 @@
   stream_.socket().cancel(ignored);
 }
 
-asio::awaitable<void> CallerConnection::CloseGently() {
+asio::awaitable<void> CallerConnection::CloseGracefully() {
   beast::error_code error;
   stream_.socket().shutdown(tcp::socket::shutdown_send, error);
   stream_.expires_after(kGentleCloseTime);
--- a/libs/relay/src/request/caller_connection.h
+++ b/libs/relay/src/request/caller_connection.h
@@ -56,7 +56,7 @@
   std::optional<size_t> WriteAtOnce(std::string_view bytes);
 
   // Calls `on_gone` once when the caller closes before StopWatch().
-  void WatchGone(std::function<void()> on_gone);
+  void WatchForClose(std::function<void()> on_gone);
   void StopWatch();
 
   // True between two requests, while no byte of the next one is here.
@@ -64,7 +64,7 @@
 
   // Ends the connection after an answer to a request that was not read to its end: what still
   // comes is read for a moment, so that the answer is not lost in a reset.
-  boost::asio::awaitable<void> CloseGently();
+  boost::asio::awaitable<void> CloseGracefully();
 
   void Close();
 
--- a/libs/relay/src/request/event_splitter.cc
+++ b/libs/relay/src/request/event_splitter.cc
@@ -21,7 +21,7 @@
 
 std::string EventSplitter::Hold(std::string_view bytes) {
   held_ += bytes;
-  if (!passed_part_ && held_.size() <= kMostHeldBytes) return {};
+  if (!passed_part_ && held_.size() <= kMaxHeldBytes) return {};
   passed_part_ = passed_part_ || !held_.empty();
   return std::exchange(held_, {});
 }
--- a/libs/relay/src/request/event_splitter.h
+++ b/libs/relay/src/request/event_splitter.h
@@ -17,7 +17,7 @@
   };
 
   // Larger events are passed on as they come: memory for many streams stays bounded.
-  static constexpr size_t kMostHeldBytes = size_t{64} << 10;
+  static constexpr size_t kMaxHeldBytes = size_t{64} << 10;
 
   explicit EventSplitter(Passing passing) : passing_(passing) {}
 
--- a/libs/relay/src/request/exchange.cc
+++ b/libs/relay/src/request/exchange.cc
@@ -80,7 +80,7 @@
 }  // namespace
 
 Exchange::Exchange(RelayContext& context, std::shared_ptr<CallerConnection> caller,
-                   std::shared_ptr<HeldRequest> held, CallerRequest request)
+                   std::shared_ptr<RequestMemory> held, CallerRequest request)
     : context_(context),
       caller_(std::move(caller)),
       held_(std::move(held)),
@@ -119,8 +119,9 @@
   request_id_ = head_.request_id;
   resumes_ = head_.resumes;
 
-  AdmissionResult result = Admit(head_, context_.routing, context_.format,
-                                 context_.document_limits.refusing_unknown, request_.received);
+  AdmissionResult result =
+      Admit(head_, context_.routing, context_.format,
+            context_.document_limits.max_age_to_refuse_unknown, request_.received);
   admitted_ = std::move(result.admitted);
   fingerprint_ = FingerprintOf({request_.method, head_.host, head_.target, admitted_.tenant,
                                 std::string_view(*request_.body)});
@@ -133,15 +134,15 @@
   last_event_id_ = std::string(request_.Header("Last-Event-ID"));
 
   GlobalCounters().requests_in_flight.Set(++context_.requests_in_flight);
-  caller_->WatchGone([weak = weak_from_this()] {
+  caller_->WatchForClose([weak = weak_from_this()] {
     const std::shared_ptr<Exchange> self = weak.lock();
     if (self == nullptr) return;
     self->caller_gone_ = true;
     if (self->upstream_ != nullptr) self->upstream_->Close();
   });
-  held_->OnGiveUp([weak = weak_from_this()](int64_t bytes, Duration left_alone) {
+  held_->SetAbortHandler([weak = weak_from_this()](int64_t bytes, Duration left_alone) {
     const std::shared_ptr<Exchange> self = weak.lock();
-    if (self != nullptr) self->OnGiveUp(bytes, left_alone);
+    if (self != nullptr) self->AbortForMemory(bytes, left_alone);
   });
   const auto on_quarantined = [weak = weak_from_this()] {
     const std::shared_ptr<Exchange> self = weak.lock();
@@ -216,7 +217,7 @@
   if (residency_table_ == context_.routing.Table()) return;
   residency_table_ = context_.routing.Table();
   Residency& residency = admitted_.profile.residency;
-  residency = ResidencyIn(*residency_table_, head_, residency);
+  residency = ReevaluateResidency(*residency_table_, head_, residency);
 }
 
 // Its data residency leaves it no back end.
@@ -237,7 +238,7 @@
   upstream_->Close();
 }
 
-void Exchange::OnGiveUp(int64_t bytes, Duration left_alone) {
+void Exchange::AbortForMemory(int64_t bytes, Duration left_alone) {
   given_up_for_memory_ = true;
   caller_gone_ = true;
   GlobalCounters().answers_cut_for_memory_total.Add();
@@ -245,8 +246,8 @@
       {{"request", request_id_},
        {"bytes", std::to_string(bytes)},
        {"left_alone_ms", fmt::format("{:.0f}", ToMillis(left_alone))},
-       {"held", std::to_string(context_.held->Total())},
-       {"limit", std::to_string(context_.held->Limit())}});
+       {"held", std::to_string(context_.request_memory->Total())},
+       {"limit", std::to_string(context_.request_memory->Limit())}});
   caller_->Close();
   if (upstream_ != nullptr) upstream_->Close();
 }
--- a/libs/relay/src/request/exchange.h
+++ b/libs/relay/src/request/exchange.h
@@ -16,7 +16,7 @@
 #include "request/answer_writer.h"
 #include "request/byte_blocks.h"
 #include "request/caller_connection.h"
-#include "request/held_memory.h"
+#include "request/memory_budget.h"
 
 namespace cartsail {
 
@@ -28,7 +28,7 @@
 inline constexpr std::string_view kCutForMemoryResult = "cut_for_memory";
 
 // Statuses from here on tell a failure of the back end.
-inline constexpr int kLeastFailureStatus = 500;
+inline constexpr int kMinFailureStatus = 500;
 
 // What the log tells of a back end's answer to an attempt.
 struct AnswerHead {
@@ -47,7 +47,7 @@
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(RelayContext& context, std::shared_ptr<CallerConnection> caller,
-           std::shared_ptr<HeldRequest> held, CallerRequest request);
+           std::shared_ptr<RequestMemory> held, CallerRequest request);
 
   // True when the caller's connection may serve another request.
   boost::asio::awaitable<bool> Run();
@@ -128,7 +128,7 @@
   bool IsQuarantined() const;
   void OnQuarantined();
   // The answer is given up, since its caller does not take it and others need the memory.
-  void OnGiveUp(int64_t bytes, Duration left_alone);
+  void AbortForMemory(int64_t bytes, Duration left_alone);
   void NoteEndOfAttempt(const Placement& placement, AttemptOutcome outcome, TimePoint ended);
   // Whether the request may be sent to a back end now, as a repeat where it was sent to one before.
   boost::asio::awaitable<bool> TakeRepeat();
@@ -142,7 +142,7 @@
 
   RelayContext& context_;
   std::shared_ptr<CallerConnection> caller_;
-  std::shared_ptr<HeldRequest> held_;
+  std::shared_ptr<RequestMemory> held_;
   std::shared_ptr<AnswerWriter> writer_;
   CallerRequest request_;
   RequestHead head_;
--- a/libs/relay/src/request/exchange_relaying.cc
+++ b/libs/relay/src/request/exchange_relaying.cc
@@ -7,9 +7,9 @@
 #include "cartsail/base/counters.h"
 #include "cartsail/base/text.h"
 #include "request/answer_notices.h"
+#include "request/buffered_body.h"
 #include "request/event_splitter.h"
 #include "request/exchange.h"
-#include "request/gathered_body.h"
 #include "request/message_head.h"
 
 namespace cartsail {
@@ -136,7 +136,7 @@
 
 asio::awaitable<AttemptOutcome> Exchange::RelayWhole(const Placement& placement,
                                                      const ResponseHead& head) {
-  GatheredBody body(held_);
+  BufferedBody body(held_);
   EventScanner events;
   std::string chunk;
   bool goes_on = true;
@@ -154,7 +154,7 @@
     if (outcome != AttemptOutcome::kAnswered) co_return outcome;
   }
 
-  const bool failed = head.status >= kLeastFailureStatus;
+  const bool failed = head.status >= kMinFailureStatus;
   const bool may_repeat = MayRepeat() && history_.may_have_run < admitted_.route->max_attempts;
   if (failed && (may_repeat || head_sent_)) co_return AttemptOutcome::kFailedAnswer;
   if (head_sent_) co_return AttemptOutcome::kSpoilt;  // a continuation cannot end in another head
--- a/libs/relay/src/request/exchange_report.cc
+++ b/libs/relay/src/request/exchange_report.cc
@@ -165,7 +165,7 @@
 
 // The whole answer of a back end was passed on; it may tell a failure.
 void Exchange::LogAnswered() const {
-  const bool failed = status_sent_ >= kLeastFailureStatus;
+  const bool failed = status_sent_ >= kMinFailureStatus;
   LogEnd(failed ? kFailedAnswerResult : kAnsweredResult, status_sent_);
 }
 
--- a/libs/relay/src/request/held_memory.cc
+++ b/libs/relay/src/request/memory_budget.cc
@@ -1,4 +1,4 @@
-#include "request/held_memory.h"
+#include "request/memory_budget.h"
 
 #include <algorithm>
 #include <utility>
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-bool HeldMemory::Reserve(HolderId holder, int64_t bytes, TimePoint now) {
+bool MemoryBudget::Reserve(HolderId holder, int64_t bytes, TimePoint now) {
   ReduceTo(limit_ - bytes, kLeftAlone, now);
   if (total_ + bytes > limit_) return false;
   Holder& entry = holders_[holder];
@@ -26,7 +26,7 @@
   return true;
 }
 
-void HeldMemory::Free(HolderId holder, int64_t bytes) {
+void MemoryBudget::Free(HolderId holder, int64_t bytes) {
   const auto entry = holders_.find(holder);
   if (entry == holders_.end()) return;
   // Of one that was given up nothing is reserved any more.
@@ -35,12 +35,12 @@
   total_ -= freed;
 }
 
-void HeldMemory::OnGiveUp(HolderId holder,
-                          std::function<void(int64_t bytes, Duration left_alone)> give_up) {
+void MemoryBudget::SetAbortHandler(
+    HolderId holder, std::function<void(int64_t bytes, Duration left_alone)> give_up) {
   holders_[holder].give_up = std::move(give_up);
 }
 
-void HeldMemory::NoteWaiting(HolderId holder, int64_t bytes, TimePoint now) {
+void MemoryBudget::NoteWaiting(HolderId holder, int64_t bytes, TimePoint now) {
   Holder& entry = holders_[holder];
   if (entry.waiting == 0) entry.taken = now;
   total_ += bytes - entry.waiting;
@@ -50,7 +50,7 @@
   ReduceTo(limit_, Duration(0), now);
 }
 
-void HeldMemory::NoteTaken(HolderId holder, int64_t bytes, TimePoint now) {
+void MemoryBudget::NoteTaken(HolderId holder, int64_t bytes, TimePoint now) {
   const auto entry = holders_.find(holder);
   if (entry == holders_.end()) return;
   total_ += bytes - entry->second.waiting;
@@ -58,20 +58,20 @@
   entry->second.taken = now;
 }
 
-void HeldMemory::Release(HolderId holder) {
+void MemoryBudget::Release(HolderId holder) {
   const auto entry = holders_.find(holder);
   if (entry == holders_.end()) return;
   total_ -= entry->second.reserved + entry->second.waiting;
   holders_.erase(entry);
 }
 
-bool HeldMemory::IsFull(TimePoint now) {
+bool MemoryBudget::IsFull(TimePoint now) {
   const auto full = static_cast<int64_t>(kFullShare * static_cast<double>(limit_));
   ReduceTo(full, kLeftAlone, now);
   return total_ > full;
 }
 
-void HeldMemory::ReduceTo(int64_t most, Duration patience, TimePoint now) {
+void MemoryBudget::ReduceTo(int64_t most, Duration patience, TimePoint now) {
   while (total_ > most) {
     Holder* victim = nullptr;
     for (auto& [holder, entry] : holders_) {
--- a/libs/relay/src/request/held_memory.h
+++ b/libs/relay/src/request/memory_budget.h
@@ -19,12 +19,12 @@
 // coroutines.
 inline constexpr int64_t kRequestStateBytes = int64_t{40} << 10;
 
-class HeldMemory {
+class MemoryBudget {
  public:
   using HolderId = uint64_t;
 
   // `limit`: bytes for all requests together.
-  explicit HeldMemory(int64_t limit) : limit_(limit) {}
+  explicit MemoryBudget(int64_t limit) : limit_(limit) {}
 
   // Takes `bytes` for a request, if need be by giving up answers that were left alone. False where
   // there is no room: the request is to be refused before its body is read.
@@ -39,7 +39,8 @@
   bool IsFull(TimePoint now);
 
   // The request's answer may be given up: `give_up` is called once, and has to free what is held.
-  void OnGiveUp(HolderId holder, std::function<void(int64_t bytes, Duration left_alone)> give_up);
+  void SetAbortHandler(HolderId holder,
+                       std::function<void(int64_t bytes, Duration left_alone)> give_up);
 
   // `bytes` of its answer wait for the caller. May give up answers, this one among them.
   void NoteWaiting(HolderId holder, int64_t bytes, TimePoint now);
@@ -73,16 +74,16 @@
 };
 
 // One request's part of it.
-class HeldRequest {
+class RequestMemory {
  public:
   // May outlive the node's other state, in what is still being written.
-  explicit HeldRequest(std::shared_ptr<HeldMemory> memory)
+  explicit RequestMemory(std::shared_ptr<MemoryBudget> memory)
       : memory_(std::move(memory)), holder_(memory_->NewHolder()) {}
-  ~HeldRequest() { memory_->Release(holder_); }
-  HeldRequest(const HeldRequest&) = delete;
-  HeldRequest& operator=(const HeldRequest&) = delete;
+  ~RequestMemory() { memory_->Release(holder_); }
+  RequestMemory(const RequestMemory&) = delete;
+  RequestMemory& operator=(const RequestMemory&) = delete;
 
-  // As HeldMemory::Reserve(), for a request with a body of `body_bytes`.
+  // As MemoryBudget::Reserve(), for a request with a body of `body_bytes`.
   bool Reserve(int64_t body_bytes, TimePoint now) {
     return memory_->Reserve(holder_, kRequestStateBytes + body_bytes, now);
   }
@@ -90,15 +91,15 @@
   bool ReserveMore(int64_t bytes, TimePoint now) { return memory_->Reserve(holder_, bytes, now); }
   void Free(int64_t bytes) { memory_->Free(holder_, bytes); }
   bool IsFull(TimePoint now) { return memory_->IsFull(now); }
-  void OnGiveUp(std::function<void(int64_t bytes, Duration left_alone)> give_up) {
-    memory_->OnGiveUp(holder_, std::move(give_up));
+  void SetAbortHandler(std::function<void(int64_t bytes, Duration left_alone)> give_up) {
+    memory_->SetAbortHandler(holder_, std::move(give_up));
   }
   void NoteWaiting(int64_t bytes, TimePoint now) { memory_->NoteWaiting(holder_, bytes, now); }
   void NoteTaken(int64_t bytes, TimePoint now) { memory_->NoteTaken(holder_, bytes, now); }
 
  private:
-  std::shared_ptr<HeldMemory> memory_;
-  HeldMemory::HolderId holder_;
+  std::shared_ptr<MemoryBudget> memory_;
+  MemoryBudget::HolderId holder_;
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/request/relay_server.cc
+++ b/libs/relay/src/request/relay_server.cc
@@ -12,7 +12,7 @@
 #include "cartsail/base/log.h"
 #include "cartsail/base/timer.h"
 #include "request/exchange.h"
-#include "request/held_memory.h"
+#include "request/memory_budget.h"
 #include "request/message_head.h"
 #include "request/retry_after.h"
 
@@ -23,7 +23,7 @@
 using asio::ip::tcp;
 
 constexpr int kBacklog = 1024;
-// Answers that were left alone are given up a second after: HeldMemory.
+// Answers that were left alone are given up a second after: MemoryBudget.
 constexpr Duration kRetryAfterNoRoom = seconds(1);
 constexpr Duration kAcceptPause = milliseconds(50);  // after a failure, such as no descriptors
 
@@ -72,7 +72,7 @@
   while (open) {
     const auto table = context_.routing.Table();
     const RequestLimits limits = table == nullptr ? RequestLimits() : table->Limits();
-    const auto held = std::make_shared<HeldRequest>(context_.held);
+    const auto held = std::make_shared<RequestMemory>(context_.request_memory);
     const std::function<bool(int64_t)> has_room = [&held](int64_t body_bytes) {
       return held->Reserve(body_bytes, Now());
     };
@@ -102,7 +102,7 @@
     headers.push_back({"Retry-After", RetryAfterText(kRetryAfterNoRoom)});
   }
   if (co_await caller.Write(ResponseHeadText(status, "Refused", headers))) {
-    co_await caller.CloseGently();
+    co_await caller.CloseGracefully();
   }
 }
 
--- a/libs/relay/src/request/retry_after.cc
+++ b/libs/relay/src/request/retry_after.cc
@@ -31,12 +31,12 @@
 
 Duration ParseRetryAfter(std::string_view text, std::string_view date) {
   if (text.empty()) return Duration(0);
-  const double longest = ToSeconds(kLongestBackoff);
+  const double longest = ToSeconds(kMaxBackoff);
   const std::optional<double> told = ParseSeconds(text);
   if (told.has_value()) return FromSeconds(std::min(*told, longest));
   const std::optional<absl::Time> until = ParseHttpDate(text);
   const std::optional<absl::Time> from = ParseHttpDate(date);
-  if (!until.has_value() || !from.has_value()) return kUnreadableBackoff;
+  if (!until.has_value() || !from.has_value()) return kDefaultBackoff;
   return FromSeconds(std::clamp(absl::ToDoubleSeconds(*until - *from), 0.0, longest));
 }
 
--- a/libs/relay/tests/catalog_sync_test.cc
+++ b/libs/relay/tests/catalog_sync_test.cc
@@ -68,7 +68,7 @@
   node.catalog.ApplyCatalog(CatalogOf(9, 1, "b"), "peer");
   node.catalog.ConfirmByPeer(Now(), Now());
   node.catalog.Start();
-  const Duration patience = node.context.document_limits.own_reading_when_behind;
+  const Duration patience = node.context.document_limits.direct_read_when_behind;
   node.RunFor(patience / 2);
   cr_assert(!node.catalog.IsReading(Now()) && node.store.Lists() == 0);
   node.catalog.NoteVersionElsewhere(7, Now());
@@ -129,7 +129,7 @@
   cr_assert(!node.catalog.ApplyUpdate(UpdateOf(5, 6, 2), "reader"), "the document is to be had");
   cr_assert(node.context.routing.Confirmed() == TimePoint());
   // Without the document the node would watch behind the change that brought it.
-  node.RunFor(node.context.document_limits.own_reading_when_behind);
+  node.RunFor(node.context.document_limits.direct_read_when_behind);
   cr_assert(node.catalog.IsReading(Now()));
 }
 
@@ -256,9 +256,9 @@
 
 // Whoever reads may be the only ones that a store turns away.
 Test(catalog_sync, more_nodes_read_while_nobody_hears_the_store) {
-  const DocumentLimits limits = LimitsWithin(seconds(3));
+  const DocumentLimits limits = DocumentLimitsFor(seconds(3));
   cr_assert(ReadersNeeded(seconds(1), limits) == kStoreReaders);
-  cr_assert(ReadersNeeded(limits.own_reading_when_unconfirmed, limits) == kStoreReaders);
+  cr_assert(ReadersNeeded(limits.direct_read_when_unconfirmed, limits) == kStoreReaders);
   cr_assert(ReadersNeeded(milliseconds(2100), limits) == 2 * kStoreReaders);
   cr_assert(ReadersNeeded(milliseconds(3100), limits) == 4 * kStoreReaders);
   cr_assert(ReadersNeeded(seconds(3600), limits) == kMostStoreReaders);
@@ -266,7 +266,7 @@
 
 // The first 24 may all be cut off from the store.
 Test(catalog_sync, all_nodes_take_turns_while_nobody_hears_the_store) {
-  const DocumentLimits limits = LimitsWithin(seconds(4));
+  const DocumentLimits limits = DocumentLimitsFor(seconds(4));
   constexpr size_t kNodes = 295;
   std::vector<bool> had_turn(kNodes, false);
   for (Duration unconfirmed = seconds(0); unconfirmed < seconds(30);
--- a/libs/relay/tests/event_splitter_test.cc
+++ b/libs/relay/tests/event_splitter_test.cc
@@ -55,7 +55,7 @@
   std::mt19937 random(63);
   std::string stream;
   for (int i = 1; i <= 6; ++i) {
-    const size_t lines = i % 2 == 0 ? 1 : EventSplitter::kMostHeldBytes / 90;
+    const size_t lines = i % 2 == 0 ? 1 : EventSplitter::kMaxHeldBytes / 90;
     stream += "id: " + std::to_string(i) + "\n";
     for (size_t line = 0; line < lines; ++line) stream += "data: " + std::string(100, 'x') + "\n";
     stream += "\n";
@@ -67,7 +67,7 @@
     const size_t size = 1 + random() % 8192;
     passed += splitter.Feed(stream.substr(at, size));
     at = std::min(at + size, stream.size());
-    cr_assert(at - passed.size() <= EventSplitter::kMostHeldBytes);
+    cr_assert(at - passed.size() <= EventSplitter::kMaxHeldBytes);
     const bool inside_passed = passed.size() > 1 && !passed.ends_with("\n\n");
     cr_assert(splitter.IsBoundToBackend() == inside_passed);
     was_bound = was_bound || inside_passed;
--- a/libs/relay/tests/held_memory_test.cc
+++ b/libs/relay/tests/held_memory_test.cc
@@ -1,9 +1,8 @@
 // What is given up when requests and answers outgrow the memory set aside for them.
-#include "request/held_memory.h"
-
 #include <memory>
 #include <vector>
 
+#include "request/memory_budget.h"
 #include "testing/criterion.h"
 
 namespace cartsail {
@@ -14,20 +13,20 @@
 constexpr int64_t kAnswer = 2 * kRequestStateBytes;
 
 struct Held {
-  explicit Held(const std::shared_ptr<HeldMemory>& memory) : request(memory) {
-    request.OnGiveUp([this](int64_t waiting, Duration alone) {
+  explicit Held(const std::shared_ptr<MemoryBudget>& memory) : request(memory) {
+    request.SetAbortHandler([this](int64_t waiting, Duration alone) {
       ++times_given_up;
       bytes = waiting;
       left_alone = alone;
     });
   }
-  HeldRequest request;
+  RequestMemory request;
   int times_given_up = 0;
   int64_t bytes = 0;
   Duration left_alone{};
 };
 
-std::vector<std::unique_ptr<Held>> Some(int count, const std::shared_ptr<HeldMemory>& memory) {
+std::vector<std::unique_ptr<Held>> Some(int count, const std::shared_ptr<MemoryBudget>& memory) {
   std::vector<std::unique_ptr<Held>> some;
   for (int i = 0; i < count; ++i) {
     some.push_back(std::make_unique<Held>(memory));
@@ -37,7 +36,7 @@
 }
 
 Test(held_memory, the_answer_that_was_left_alone_for_longest_is_given_up) {
-  const auto memory = std::make_shared<HeldMemory>(kLimit);
+  const auto memory = std::make_shared<MemoryBudget>(kLimit);
   const auto held = Some(6, memory);
   for (int i = 0; i < 6; ++i) {
     held[static_cast<size_t>(i)]->request.NoteWaiting(kAnswer, kStart + milliseconds(100) * i);
@@ -55,7 +54,7 @@
 
 // Nobody is cut for a newcomer, which can be told to come back.
 Test(held_memory, a_request_is_refused_while_all_callers_read) {
-  const auto memory = std::make_shared<HeldMemory>(kLimit);
+  const auto memory = std::make_shared<MemoryBudget>(kLimit);
   const auto held = Some(6, memory);
   for (const auto& one : held) one->request.NoteWaiting(kAnswer, kStart);
   Held newcomer(memory);
@@ -64,7 +63,7 @@
 }
 
 Test(held_memory, never_exceeds_its_limit) {
-  const auto memory = std::make_shared<HeldMemory>(kLimit);
+  const auto memory = std::make_shared<MemoryBudget>(kLimit);
   const auto held = Some(10, memory);
   for (int step = 1; step <= 100; ++step) {
     for (const auto& one : held) {
@@ -79,7 +78,7 @@
 // Before the limit is reached: what is given up then are answers that were left alone, and nothing
 // where all callers read.
 Test(held_memory, that_is_full_gives_up_only_what_was_left_alone) {
-  const auto memory = std::make_shared<HeldMemory>(kLimit);
+  const auto memory = std::make_shared<MemoryBudget>(kLimit);
   const auto held = Some(6, memory);
   cr_assert(!held[0]->request.IsFull(kStart));
   for (const auto& one : held) one->request.NoteWaiting(kAnswer, kStart);
@@ -94,7 +93,7 @@
 }
 
 Test(held_memory, what_is_freed_twice_or_after_it_was_given_up_counts_once) {
-  const auto memory = std::make_shared<HeldMemory>(kLimit);
+  const auto memory = std::make_shared<MemoryBudget>(kLimit);
   const auto held = Some(1, memory);
   cr_assert(held[0]->request.ReserveMore(1000, kStart));
   held[0]->request.Free(1000);
@@ -106,7 +105,7 @@
 }
 
 Test(held_memory, what_is_released_is_free) {
-  const auto memory = std::make_shared<HeldMemory>(kLimit);
+  const auto memory = std::make_shared<MemoryBudget>(kLimit);
   {
     const auto held = Some(10, memory);
     held[3]->request.NoteWaiting(kAnswer, kStart);
--- a/libs/relay/tests/relay_state_test.cc
+++ b/libs/relay/tests/relay_state_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 const TimePoint kNow = TimePoint(seconds(1000));
-constexpr Duration kTrustedFor = LimitsWithin(seconds(3)).refusing_unknown;
+constexpr Duration kTrustedFor = DocumentLimitsFor(seconds(3)).max_age_to_refuse_unknown;
 
 RoutingState MakeState(RoutingDocument document, TimePoint confirmed = kNow) {
   RoutingState state;
@@ -104,11 +104,11 @@
 
 Test(documents, steps_of_a_change_fit_its_deadline) {
   for (const Duration deadline : {seconds(1), seconds(2), seconds(3), seconds(4)}) {
-    const DocumentLimits limits = LimitsWithin(deadline);
+    const DocumentLimits limits = DocumentLimitsFor(deadline);
     const Duration telling = DocumentAnnouncer::kRounds * DocumentAnnouncer::kRoundInterval / 2;
-    cr_assert(limits.own_reading_when_unconfirmed + telling < deadline);
-    cr_assert(limits.own_reading_when_behind + telling < deadline);
-    cr_assert(limits.refusing_unknown < deadline);
+    cr_assert(limits.direct_read_when_unconfirmed + telling < deadline);
+    cr_assert(limits.direct_read_when_behind + telling < deadline);
+    cr_assert(limits.max_age_to_refuse_unknown < deadline);
   }
 }
 
--- a/libs/relay/tests/residency_relay_test.cc
+++ b/libs/relay/tests/residency_relay_test.cc
@@ -83,18 +83,18 @@
 Test(admission_residency, a_newer_document_binds_requests_under_way) {
   const Residency admitted = Names{"east"};
   const auto table = *RouteTable::Build(MakeDocument(Names{"west"}, std::nullopt));
-  cr_assert(*ResidencyIn(*table, MakeHead("key1"), admitted) == Names{"west"});
+  cr_assert(*ReevaluateResidency(*table, MakeHead("key1"), admitted) == Names{"west"});
   const auto open = *RouteTable::Build(MakeDocument(std::nullopt, std::nullopt));
-  cr_assert(!ResidencyIn(*open, MakeHead("key1"), admitted).has_value());
+  cr_assert(!ReevaluateResidency(*open, MakeHead("key1"), admitted).has_value());
 }
 
 Test(admission_residency, what_a_newer_document_no_longer_knows_binds_on) {
   const Residency admitted = Names{"east"};
   const auto open = *RouteTable::Build(MakeDocument(std::nullopt, std::nullopt));
-  cr_assert(*ResidencyIn(*open, MakeHead("revoked"), admitted) == Names{"east"});
+  cr_assert(*ReevaluateResidency(*open, MakeHead("revoked"), admitted) == Names{"east"});
   RequestHead head = MakeHead("key1");
   head.target = "/gone/a";
-  cr_assert(*ResidencyIn(*open, head, admitted) == Names{"east"});
+  cr_assert(*ReevaluateResidency(*open, head, admitted) == Names{"east"});
 }
 
 Backend MakeBackend(const std::string& id, const std::string& zone) {
--- a/libs/relay/tests/retry_after_test.cc
+++ b/libs/relay/tests/retry_after_test.cc
@@ -19,16 +19,16 @@
 Test(retry_after, a_date_is_taken_against_the_answers_own) {
   cr_assert(ParseRetryAfter("Thu, 03 Dec 2026 04:00:07 GMT", kDate) == seconds(7));
   cr_assert(ParseRetryAfter("Thu, 03 Dec 2026 03:00:00 GMT", kDate) == Duration(0), "past");
-  cr_assert(ParseRetryAfter("Fri, 03 Dec 2027 04:00:00 GMT", kDate) == kLongestBackoff);
-  cr_assert(ParseRetryAfter("Thu, 03 Dec 2026 04:00:07 GMT", "") == kUnreadableBackoff);
-  cr_assert(ParseRetryAfter("Thu, 03 Dec 2026 04:00:07 GMT", "noon") == kUnreadableBackoff);
+  cr_assert(ParseRetryAfter("Fri, 03 Dec 2027 04:00:00 GMT", kDate) == kMaxBackoff);
+  cr_assert(ParseRetryAfter("Thu, 03 Dec 2026 04:00:07 GMT", "") == kDefaultBackoff);
+  cr_assert(ParseRetryAfter("Thu, 03 Dec 2026 04:00:07 GMT", "noon") == kDefaultBackoff);
 }
 
 Test(retry_after, absurd_times_are_bounded) {
-  cr_assert(ParseRetryAfter("999999999999", "") == kLongestBackoff);
-  cr_assert(ParseRetryAfter("1e300", "") == kLongestBackoff);
+  cr_assert(ParseRetryAfter("999999999999", "") == kMaxBackoff);
+  cr_assert(ParseRetryAfter("1e300", "") == kMaxBackoff);
   for (const char* text : {"inf", "nan", "-3", "1e999", "soon", "3 s", "3,5", "\xff\xfe"}) {
-    cr_assert(ParseRetryAfter(text, kDate) == kUnreadableBackoff, "%s", text);
+    cr_assert(ParseRetryAfter(text, kDate) == kDefaultBackoff, "%s", text);
   }
   cr_assert(ParseRetryAfter("", kDate) == Duration(0), "missing");
 }
@@ -44,26 +44,26 @@
   const WireNames names;
   const HttpHeaders headers = {{"Retry-After", "3"}};
   for (const int status : {503, 429}) {
-    cr_assert(NoticeIn(status, headers, names).backoff == seconds(3));
+    cr_assert(ParseNotice(status, headers, names).backoff == seconds(3));
   }
   for (const int status : {200, 404, 421, 500, 504}) {
-    cr_assert(!NoticeIn(status, headers, names).backoff.has_value(), "%d", status);
+    cr_assert(!ParseNotice(status, headers, names).backoff.has_value(), "%d", status);
   }
-  cr_assert(!NoticeIn(503, {}, names).backoff.has_value());
+  cr_assert(!ParseNotice(503, {}, names).backoff.has_value());
 }
 
 Test(answer_notices, any_answer_may_say_that_its_back_end_leaves) {
   const WireNames names;
   const HttpHeaders headers = {{"cartsail-leaving", "1"}};
   for (const int status : {200, 404, 500, 503}) {
-    cr_assert(NoticeIn(status, headers, names).leaving, "%d", status);
+    cr_assert(ParseNotice(status, headers, names).leaving, "%d", status);
   }
-  cr_assert(!NoticeIn(421, headers, names).leaving, "of another process");
-  cr_assert(!NoticeIn(200, {}, names).leaving);
+  cr_assert(!ParseNotice(421, headers, names).leaving, "of another process");
+  cr_assert(!ParseNotice(200, {}, names).leaving);
 }
 
 std::optional<RateWord> RateIn(int status, const HttpHeaders& headers) {
-  return RateWordIn({status, headers, TimePoint(seconds(7))}, WireNames());
+  return ParseRateLimit({status, headers, TimePoint(seconds(7))}, WireNames());
 }
 
 Test(answer_notices, any_answer_may_name_a_rate) {
--- a/libs/relay/tests/slow_readers_test.cc
+++ b/libs/relay/tests/slow_readers_test.cc
@@ -103,7 +103,7 @@
 
   int64_t Held() {
     int64_t held = 0;
-    relay.OnRelayThread([this, &held] { held = relay.Context().held->Total(); });
+    relay.OnRelayThread([this, &held] { held = relay.Context().request_memory->Total(); });
     return held;
   }
 
@@ -140,7 +140,7 @@
   constexpr int kPieces = 16;  // more than a node and the kernel take for a caller
   Scene scene(kPieces);
   const int64_t given_up_before = GlobalCounters().answers_cut_for_memory_total.Get();
-  const int64_t limit = scene.relay.Context().held->Limit();
+  const int64_t limit = scene.relay.Context().request_memory->Limit();
   std::vector<std::unique_ptr<SlowCaller>> stalled;
   for (int i = 0; i < kStalled; ++i) {
     stalled.push_back(std::make_unique<SlowCaller>(scene.relay.Port()));
--- a/libs/relay/tests/warmth_inquiry_test.cc
+++ b/libs/relay/tests/warmth_inquiry_test.cc
@@ -1,10 +1,9 @@
 // Back ends that were lost are asked how long they stay cold, and serve as soon as they have told.
-#include "placement/warmth_inquiry.h"
-
 #include <chrono>
 #include <thread>
 
 #include "cartsail/base/counters.h"
+#include "placement/warmup_prober.h"
 #include "support/relay_fixture.h"
 #include "support/stub_backend.h"
 #include "testing/criterion.h"
@@ -28,7 +27,7 @@
 }
 
 std::optional<Duration> ColdLeft(int status, const HttpHeaders& headers) {
-  return HealthAnswerIn(ResponseWith(status, headers), "e", WireNames()).cold_left;
+  return ParseHealthAnswer(ResponseWith(status, headers), "e", WireNames()).cold_left;
 }
 
 Test(warmth_answer, tells_how_long_it_stays_cold) {
@@ -96,7 +95,7 @@
   }
 
  private:
-  std::optional<WarmthInquiry> inquiry_;  // outlives the relay's thread
+  std::optional<WarmupProber> inquiry_;  // outlives the relay's thread
   testing::StubBackend backend_;
   testing::RelayFixture relay_;
 };
