--- a/libs/quarantine/include/cartsail/quarantine/backend_exit_detector.h
+++ b/libs/quarantine/include/cartsail/quarantine/backend_exit_detector.h
@@ -1,10 +1,13 @@
-// Finds out which back ends ended while requests of this node ran there. A connection that breaks
-// is no proof: links are reset, failing back ends close, this node may have stood still. The proof
-// is that the back end's host refuses connections, that another process has its address, or that
-// its entry goes. A connection that is made is no proof of the contrary: hosts take connections for
-// a process that is ending, and for another one that has got its address. One that stands says
-// that some process went on there, so that only another one's answer still proves the end; an
-// answer of the back end settles it. Pure.
+// Detects which backend processes exited while requests of this node ran there.
+//
+// A broken connection alone proves nothing: links are reset, failing backends close connections,
+// and this node may have been paused. An exit is proven when the backend's host refuses
+// connections, another process has the backend's address, or the backend's entry is removed.
+//
+// A successful connect does not disprove the exit: hosts accept connections for a process that is
+// exiting, and for another process that took over the address. A connection that stays open shows
+// that some process kept listening, so that only the answer of another process can still prove the
+// exit. An answer of the backend itself disproves it. Performs no I/O.
 #pragma once
 
 #include <functional>
@@ -18,30 +21,33 @@
 
 class BackendExitDetector {
  public:
-  // The connection broke while the back end had the request. Returns strikes where the back end is
-  // known to have ended.
+  // The connection broke while the backend had the request. Returns the strike if the backend is
+  // already known to have exited, otherwise nothing.
   std::vector<Strike> NoteBroken(const Strike& suspected);
 
-  // Its host refuses connections. Returns what that says of the requests that broke there.
+  // The backend's host refuses connections. Returns strikes for the requests whose connections
+  // broke there, except those covered by NoteListening().
   std::vector<Strike> NoteEnded(BackendKey backend, TimePoint now);
 
-  // Another process has its address.
+  // Another process has the backend's address. Returns strikes for all requests whose connections
+  // broke there.
   std::vector<Strike> NoteReplaced(BackendKey backend, TimePoint now);
 
-  // A connection that was made after the break has stood for long enough: a process that ends now
-  // has ended after the break. Without it 18 and 130 strikes were held against innocent requests in
-  // two runs in which connections were reset while engines were released, 1 and 0 with it.
+  // A connection made after the break has stayed open long enough, so a process that exits from now
+  // on was still running after the break. Without this, harmless requests got 18 and 130 strikes in
+  // two runs with connection resets while engines were released; with it, 1 and 0.
   void NoteListening(BackendKey backend);
 
-  // The back end has answered a request that was sent at `sent`: what broke before that broke for
-  // another reason.
+  // The backend has answered a request that was sent at `sent`: connections that broke before
+  // `sent` broke for another reason than its exit.
   void NoteAnswered(BackendKey backend, TimePoint sent);
 
-  // True once a while for a back end that may have ended: whether it takes connections is to be
-  // found out.
+  // True if the backend may have exited and a connection to it is to be tried now; at most once a
+  // second per backend.
   bool TakeProbe(BackendKey backend, TimePoint now);
 
-  // Forgets what could not be settled in time, and settles it for back ends whose entry has gone.
+  // Returns strikes for backends whose entry is gone, as NoteEnded() does, and drops suspicions
+  // that were not settled within 10 s.
   std::vector<Strike> Settle(const std::function<bool(BackendKey)>& has_entry, TimePoint now);
 
  private:
@@ -57,7 +63,7 @@
   };
 
   std::unordered_map<BackendKey, SuspectedExit> suspected_;
-  std::unordered_map<BackendKey, TimePoint> exited_;  // when that became known
+  std::unordered_map<BackendKey, TimePoint> exited_;  // when the exit became known
 };
 
 }  // namespace cartsail
--- a/libs/quarantine/include/cartsail/quarantine/quarantine_list.h
+++ b/libs/quarantine/include/cartsail/quarantine/quarantine_list.h
@@ -1,5 +1,5 @@
-// The requests that this node sends to no back end, because back ends end under them. Bounded.
-// Pure.
+// Requests that this node sends to no backend because backend processes exit while running them.
+// Bounded in size. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +12,8 @@
 
 namespace cartsail {
 
-// A request is kept from back ends for so long: the longest lease that a store grants. Whoever
-// needs it run has the time to change it, or the engines.
+// How long a request stays quarantined: the longest lease that a store grants. This leaves its
+// sender time to change the request, or the operator time to fix the engines.
 inline constexpr Duration kQuarantineTime = seconds(600);
 
 struct QuarantinedRequest {
@@ -23,31 +23,31 @@
 
 class QuarantineList {
  public:
-  // True when the request was not in quarantine before. A request that was lifted stays so for a
-  // while: word of its quarantine may still be on its way.
+  // Returns true if the request was added; false if it is already quarantined, if `until` has
+  // passed, or if its quarantine was lifted recently: notices of it may still be in flight.
   bool Add(const QuarantinedRequest& quarantined, TimePoint now);
 
-  // The request is innocent. True when it was in quarantine.
+  // Ends the quarantine of a request that proved harmless. Returns true if it was quarantined.
   bool Lift(RequestFingerprint request, TimePoint now);
 
   bool WasLifted(RequestFingerprint request, TimePoint now) const;
 
-  // How long it is still kept from back ends; nothing when it may be sent.
+  // Time until the quarantine ends; nullopt if the request is not quarantined.
   std::optional<Duration> RemainingTime(RequestFingerprint request, TimePoint now) const;
 
-  // The newest ones first, `most` at most.
-  std::vector<QuarantinedRequest> Newest(size_t most, TimePoint now) const;
+  // Up to `max_count` quarantined requests, those that end last first.
+  std::vector<QuarantinedRequest> Newest(size_t max_count, TimePoint now) const;
 
   void Expire(TimePoint now);
 
   size_t Size() const { return quarantined_.size(); }
 
-  // Rises with every change.
+  // Change counter: rises whenever a request is added, lifted or expires.
   int64_t Changes() const { return changes_; }
 
  private:
-  std::unordered_map<RequestFingerprint, TimePoint> quarantined_;  // until when
-  std::unordered_map<RequestFingerprint, TimePoint> lifted_;       // since when
+  std::unordered_map<RequestFingerprint, TimePoint> quarantined_;  // end of quarantine
+  std::unordered_map<RequestFingerprint, TimePoint> lifted_;       // when it was lifted
   int64_t changes_ = 0;
 };
 
--- a/libs/quarantine/include/cartsail/quarantine/recent_completions.h
+++ b/libs/quarantine/include/cartsail/quarantine/recent_completions.h
@@ -1,5 +1,5 @@
-// Requests that back ends have run to the end lately at this node: a request that a back end has
-// survived is no deadly one. Bounded. Pure.
+// Requests of this node that backends completed recently. A request that a backend has survived
+// does not crash backends. Bounded in size. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,8 @@
  public:
   void Note(RequestFingerprint request, TimePoint now);
 
-  // True when a back end ran the request to the end after `since`, as far as this still remembers.
+  // True if a backend is known to have completed the request after `since`. Completions are kept
+  // for at least a minute unless the table fills up sooner.
   bool CompletedSince(RequestFingerprint request, TimePoint since) const;
 
  private:
@@ -22,7 +23,7 @@
 
   Generation newer_;
   Generation older_;
-  TimePoint begun_{};  // of `newer_`
+  TimePoint begun_{};  // start of `newer_`
 };
 
 }  // namespace cartsail
--- a/libs/quarantine/include/cartsail/quarantine/strike.h
+++ b/libs/quarantine/include/cartsail/quarantine/strike.h
@@ -1,4 +1,4 @@
-// One engine's end, held against one of the requests that ran there. Plain structs.
+// Strike: the exit of one backend process, counted against a request that ran there.
 #pragma once
 
 #include "cartsail/base/clock.h"
@@ -7,8 +7,8 @@
 
 namespace cartsail {
 
-// The back end ended without notice while it had the request. Most requests that run at such a back
-// end are innocent; the one that ends every back end that runs it collects strikes.
+// The backend exited unexpectedly while it had the request. Most requests at such a backend are
+// harmless; the request that makes every backend exit accumulates strikes.
 struct Strike {
   RequestFingerprint request = 0;
   BackendKey backend = 0;
@@ -17,13 +17,13 @@
   bool operator==(const Strike& other) const = default;
 };
 
-// Different back ends that may end under a request before it is kept from all others. With two, a
-// request whose first back end and whose repeat's both end by chance would be refused; each further
-// one costs a back end with all that runs there.
+// Number of different backends that exit while running a request before it is quarantined. With
+// two, a request whose first attempt and whose retry both met an unrelated exit would be refused;
+// each further strike costs a backend with all requests that run there.
 inline constexpr size_t kStrikesToQuarantine = 3;
 
-// Back ends that end within that time may have ended for one reason in common: a request that is
-// in flight everywhere is in flight there too.
+// Backends that exit within this time may share another cause: a request that is in flight on all
+// backends is in flight there too.
 inline constexpr Duration kSimultaneousExitWindow = milliseconds(50);
 
 }  // namespace cartsail
--- a/libs/quarantine/include/cartsail/quarantine/strike_ledger.h
+++ b/libs/quarantine/include/cartsail/quarantine/strike_ledger.h
@@ -1,5 +1,5 @@
-// Counts the different back ends that ended under each request. A few nodes keep the count of a
-// request, so that one that restarts loses nothing. Bounded. Pure.
+// Counts the different backends that exited while running each request. Several nodes keep the
+// count of a request, so that it survives the restart of one of them. Bounded in size, no I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,34 +13,36 @@
 
 namespace cartsail {
 
-// A request that has enough strikes.
+// A request that has enough strikes to be quarantined.
 struct Verdict {
   RequestFingerprint request = 0;
-  std::vector<BackendKey> backends;
+  std::vector<BackendKey> backends;  // that exited while running the request
   TimePoint first_strike;
-  bool is_simultaneous = false;  // all of them ended within kSimultaneousExitWindow
+  bool is_simultaneous = false;  // all backends exited within kSimultaneousExitWindow
 };
 
 class StrikeLedger {
  public:
-  // The same strike counts once, however often it is told. Returns a verdict whenever a new strike
-  // of the request is its third or a later one, unless quarantined requests explain them.
+  // Adds a strike; a repeated report of the same strike is ignored. Returns a verdict whenever a
+  // new strike of the request is its third or a later one, unless the strikes are attributed to
+  // quarantined requests.
   std::optional<Verdict> Note(const Strike& strike);
 
-  // The verdict of which Note() told, unless the request was cleared or explained since.
+  // The verdict that Note() returned, unless the request was cleared or its strikes were attributed
+  // to a quarantined request since.
   std::optional<Verdict> VerdictOn(RequestFingerprint request) const;
 
-  // `by` is quarantined, since these back ends ended under it: others that ran there may be
-  // innocent.
+  // Attributes the exits of `backends` to the quarantined request `by`: other requests that ran
+  // there may be harmless. Replaces an earlier attribution to `by`.
   void AttributeExits(const std::vector<BackendKey>& backends, RequestFingerprint by,
                       TimePoint now);
 
-  // The request is innocent: a back end has run it to the end.
+  // Drops the strikes of a request that a backend has completed.
   void Clear(RequestFingerprint request) { records_.erase(request); }
 
   size_t StrikesOf(RequestFingerprint request) const;
 
-  // Forgets old strikes. About twice a second.
+  // Drops strikes and attributions older than 20 minutes. Call about twice a second.
   void Expire(TimePoint now);
 
   size_t Size() const { return records_.size(); }
@@ -61,14 +63,14 @@
   void EvictOlderHalf();
 
   std::unordered_map<RequestFingerprint, Record> records_;
-  std::unordered_map<RequestFingerprint, Attribution> attributions_;  // by who is quarantined
+  std::unordered_map<RequestFingerprint, Attribution> attributions_;  // by quarantined request
 };
 
-// Nodes that keep the count of a request.
+// Number of nodes that keep the strikes of a request.
 inline constexpr size_t kStrikeLedgerReplicas = 3;
 
-// Those of `hosts` that keep the count of `request`, the first one before the others (rendezvous
-// hashing): all nodes that know the same hosts agree, and few requests move when one comes or goes.
+// The nodes among `hosts` that keep the strikes of `request`, in rendezvous hashing order. All
+// nodes with the same hosts get the same result, and few requests move when a host comes or goes.
 std::vector<std::string> StrikeLedgerNodesOf(RequestFingerprint request,
                                              std::vector<std::string> hosts);
 
--- a/libs/quarantine/src/backend_exit_detector.cc
+++ b/libs/quarantine/src/backend_exit_detector.cc
@@ -5,13 +5,13 @@
 namespace cartsail {
 namespace {
 
-// The entry of a back end that has ended lapses within some heartbeats, 3.6 s where they come every
-// 1.2 s, and readers may hear of it a second later.
+// The entry of an exited backend expires after some missed heartbeats (3.6 s with one every 1.2 s),
+// and readers may learn of it a second later.
 constexpr Duration kMaxSuspicionTime = seconds(10);
-// All requests at a back end break within 3 ms where it ends; those of a node that stood still
-// break when it goes on.
+// All connections to a backend break within 3 ms of its exit; on a node that was paused they break
+// when it resumes.
 constexpr Duration kExitRetention = seconds(10);
-// A back end that closes many connections costs one new connection in this time.
+// A backend that closes many connections costs one probe connection per interval.
 constexpr Duration kProbeInterval = seconds(1);
 
 }  // namespace
@@ -23,44 +23,44 @@
 }
 
 std::vector<Strike> BackendExitDetector::NoteEnded(BackendKey backend, TimePoint now) {
-  const auto doubt = suspected_.find(backend);
-  if (doubt == suspected_.end()) return {};
-  std::erase_if(doubt->second.requests,
+  const auto suspected = suspected_.find(backend);
+  if (suspected == suspected_.end()) return {};
+  std::erase_if(suspected->second.requests,
                 [](const BrokenRequest& broken) { return broken.is_listening; });
   return NoteReplaced(backend, now);
 }
 
 std::vector<Strike> BackendExitDetector::NoteReplaced(BackendKey backend, TimePoint now) {
-  const auto doubt = suspected_.find(backend);
-  // Nothing of this node ran there: a connection that is refused alone tells nothing.
-  if (doubt == suspected_.end()) return {};
+  const auto suspected = suspected_.find(backend);
+  // No request of this node broke there: a refused connection alone proves nothing.
+  if (suspected == suspected_.end()) return {};
   std::vector<Strike> strikes;
-  for (const BrokenRequest& broken : doubt->second.requests) {
+  for (const BrokenRequest& broken : suspected->second.requests) {
     strikes.push_back({broken.request, backend, broken.when});
   }
-  suspected_.erase(doubt);
+  suspected_.erase(suspected);
   if (!strikes.empty()) exited_[backend] = now;
   return strikes;
 }
 
 void BackendExitDetector::NoteListening(BackendKey backend) {
-  const auto doubt = suspected_.find(backend);
-  if (doubt == suspected_.end()) return;
-  for (BrokenRequest& broken : doubt->second.requests) broken.is_listening = true;
+  const auto suspected = suspected_.find(backend);
+  if (suspected == suspected_.end()) return;
+  for (BrokenRequest& broken : suspected->second.requests) broken.is_listening = true;
 }
 
 void BackendExitDetector::NoteAnswered(BackendKey backend, TimePoint sent) {
-  const auto doubt = suspected_.find(backend);
-  if (doubt == suspected_.end()) return;
-  std::vector<BrokenRequest>& requests = doubt->second.requests;
+  const auto suspected = suspected_.find(backend);
+  if (suspected == suspected_.end()) return;
+  std::vector<BrokenRequest>& requests = suspected->second.requests;
   std::erase_if(requests, [sent](const BrokenRequest& broken) { return broken.when < sent; });
-  if (requests.empty()) suspected_.erase(doubt);
+  if (requests.empty()) suspected_.erase(suspected);
 }
 
 bool BackendExitDetector::TakeProbe(BackendKey backend, TimePoint now) {
-  const auto doubt = suspected_.find(backend);
-  if (doubt == suspected_.end() || now < doubt->second.next_probe) return false;
-  doubt->second.next_probe = now + kProbeInterval;
+  const auto suspected = suspected_.find(backend);
+  if (suspected == suspected_.end() || now < suspected->second.next_probe) return false;
+  suspected->second.next_probe = now + kProbeInterval;
   return true;
 }
 
@@ -68,19 +68,20 @@
                                                 TimePoint now) {
   std::vector<Strike> strikes;
   std::vector<BackendKey> gone;
-  for (const auto& [backend, doubt] : suspected_) {
+  for (const auto& [backend, suspected] : suspected_) {
     if (!has_entry(backend)) gone.push_back(backend);
   }
   for (const BackendKey backend : gone) {
     const std::vector<Strike> settled = NoteEnded(backend, now);
     strikes.insert(strikes.end(), settled.begin(), settled.end());
   }
-  for (auto& [backend, doubt] : suspected_) {
-    std::erase_if(doubt.requests, [now](const BrokenRequest& broken) {
+  for (auto& [backend, suspected] : suspected_) {
+    std::erase_if(suspected.requests, [now](const BrokenRequest& broken) {
       return now - broken.when > kMaxSuspicionTime;
     });
   }
-  std::erase_if(suspected_, [](const auto& doubt) { return doubt.second.requests.empty(); });
+  std::erase_if(suspected_,
+                [](const auto& suspected) { return suspected.second.requests.empty(); });
   std::erase_if(exited_, [now](const auto& ended) { return now - ended.second > kExitRetention; });
   return strikes;
 }
--- a/libs/quarantine/src/quarantine_list.cc
+++ b/libs/quarantine/src/quarantine_list.cc
@@ -5,9 +5,10 @@
 namespace cartsail {
 namespace {
 
-// Each takes three back ends; more would be an attack that refusing single requests does not stop.
+// Each entry costs three backends; more entries would be an attack that refusing single requests
+// does not stop.
 constexpr size_t kMaxQuarantined = 1000;
-// Word of a quarantine travels within some seconds, by the slowest way with a catalog.
+// Notices of a quarantine arrive within some seconds; the slowest way is with a catalog.
 constexpr Duration kLiftRetention = seconds(30);
 
 }  // namespace
@@ -46,7 +47,7 @@
   return quarantined->second - now;
 }
 
-std::vector<QuarantinedRequest> QuarantineList::Newest(size_t most, TimePoint now) const {
+std::vector<QuarantinedRequest> QuarantineList::Newest(size_t max_count, TimePoint now) const {
   std::vector<QuarantinedRequest> all;
   for (const auto& [request, until] : quarantined_) {
     if (until > now) all.push_back({request, until});
@@ -55,7 +56,7 @@
     return left.until > right.until;
   };
   std::sort(all.begin(), all.end(), is_newer);
-  if (all.size() > most) all.resize(most);
+  if (all.size() > max_count) all.resize(max_count);
   return all;
 }
 
--- a/libs/quarantine/src/recent_completions.cc
+++ b/libs/quarantine/src/recent_completions.cc
@@ -5,10 +5,10 @@
 namespace cartsail {
 namespace {
 
-// Runs are remembered for one to two of these. Callers that poll do so within a minute.
+// Completions are kept for one to two generations. Clients that poll do so within a minute.
 constexpr Duration kGenerationLength = seconds(60);
-// 33 requests a second and node, the mean of 480 nodes that take 16,000, make 2,000 a generation; a
-// burst of ten times that has 0.9 MB in both.
+// 480 nodes that serve 16,000 requests/s see 33 requests/s each on average, 2,000 per generation.
+// A burst of ten times that takes 0.9 MB in both generations.
 constexpr size_t kMaxPerGeneration = 10000;
 
 bool IsCompletedAfter(const std::unordered_map<RequestFingerprint, TimePoint>& runs,
--- a/libs/quarantine/src/request_fingerprint.cc
+++ b/libs/quarantine/src/request_fingerprint.cc
@@ -15,7 +15,7 @@
 
 RequestFingerprint FingerprintOf(const RequestIdentity& identity) {
   RequestFingerprint fingerprint = 0;
-  // Each field is the seed of the next one: bytes that move from one field to another count.
+  // Each hash seeds the next, so that moving bytes from one field to another changes the result.
   for (const std::string_view field :
        {identity.method, identity.host, identity.target, identity.caller, identity.body}) {
     fingerprint = Hash64(field, fingerprint);
--- a/libs/quarantine/src/strike_ledger.cc
+++ b/libs/quarantine/src/strike_ledger.cc
@@ -7,15 +7,16 @@
 namespace cartsail {
 namespace {
 
-// Twice as long as a request is kept from back ends: the first end after that is its fourth.
+// Twice kQuarantineTime: the first exit after a quarantine still counts as the fourth strike.
 constexpr Duration kStrikeRetention = seconds(1200);
-// Of 3,400 back ends with 40 requests each a zone of 200 has 8,000; a node keeps the count of 50 of
-// those. 10,000 have 1 MB.
+// With 3,400 backends and 40 requests at each, the loss of a zone of 200 backends gives strikes to
+// 8,000 requests, of which a node keeps 50. 10,000 records take 1 MB.
 constexpr size_t kMaxRecords = 10000;
 
-// Strikes that no attribution outweighs: requests that end back ends may have shared some. In 1,000
-// simulated storms with two of them each ends 4 at most, 5 with a limit of five; 1,645 instead of
-// 1,355 of 180,000 innocent requests are refused.
+// From this number on, strikes count even if they are attributed to another request, because two
+// requests that crash backends may have shared some. In 1,000 simulations with two such requests,
+// each crashes at most 4 backends, but 5 if this limit is five; the price is that 1,645 instead of
+// 1,355 of 180,000 harmless requests are refused.
 constexpr size_t kStrikesDespiteAttribution = 4;
 
 bool Contains(const std::vector<BackendKey>& backends, BackendKey backend) {
@@ -52,8 +53,9 @@
   attributions_[by] = {backends, now};
 }
 
-// Some quarantined request was at most of the same back ends, and at one more where this one was
-// not. Of two that were at all the same ones either may have ended them.
+// True if some quarantined request leaves fewer than kStrikesToQuarantine of `backends` unaccounted
+// for and also has a backend where `request` was not. If all backends of the quarantined request
+// are among `backends`, either request may have caused the exits.
 bool StrikeLedger::IsAttributed(RequestFingerprint request,
                                 const std::vector<BackendKey>& backends) const {
   for (const auto& [by, attribution] : attributions_) {
@@ -79,7 +81,6 @@
                 [now](const auto& entry) { return now - entry.second.since > kStrikeRetention; });
 }
 
-// Forgets the older half.
 void StrikeLedger::EvictOlderHalf() {
   std::vector<TimePoint> times;
   times.reserve(records_.size());
--- a/libs/quarantine/tests/quarantine_list_test.cc
+++ b/libs/quarantine/tests/quarantine_list_test.cc
@@ -13,15 +13,15 @@
   QuarantineList list;
   cr_assert(!list.RemainingTime(kRequest, kStart).has_value());
   cr_assert(list.Add({kRequest, kStart + seconds(600)}, kStart));
-  cr_assert(!list.Add({kRequest, kStart + seconds(900)}, kStart), "known already");
+  cr_assert(!list.Add({kRequest, kStart + seconds(900)}, kStart), "already quarantined");
   cr_assert(list.RemainingTime(kRequest, kStart + seconds(10)) == Duration(seconds(590)));
   cr_assert(!list.RemainingTime(kRequest, kStart + seconds(600)).has_value());
   list.Expire(kStart + seconds(600));
   cr_assert(list.Size() == 0);
 }
 
-// Word of the quarantine may come after word of its end.
-Test(quarantine_list, a_lifted_request_is_not_added_by_late_word) {
+// The notice of a quarantine may arrive after the notice that it was lifted.
+Test(quarantine_list, a_lifted_request_is_not_added_by_a_late_notice) {
   QuarantineList list;
   (void)list.Add({kRequest, kStart + seconds(600)}, kStart);
   cr_assert(list.Lift(kRequest, kStart + seconds(1)));
@@ -29,7 +29,7 @@
   cr_assert(list.Add({kRequest, kStart + seconds(900)}, kStart + seconds(32)));
 }
 
-Test(quarantine_list, the_newest_are_told) {
+Test(quarantine_list, the_newest_are_listed) {
   QuarantineList list;
   for (RequestFingerprint request = 0; request < 2000; ++request) {
     (void)list.Add({request, kStart + seconds(600) + milliseconds(request)}, kStart);
@@ -41,22 +41,23 @@
 }
 
 Test(recent_runs, remembers_for_a_minute_and_forgets) {
-  RecentCompletions runs;
-  runs.Note(kRequest, kStart);
-  cr_assert(runs.CompletedSince(kRequest, kStart - seconds(1)));
-  cr_assert(!runs.CompletedSince(kRequest, kStart), "not after");
-  runs.Note(6, kStart + seconds(59));
-  cr_assert(runs.CompletedSince(kRequest, kStart - seconds(1)));
-  runs.Note(7, kStart + seconds(130));
-  runs.Note(8, kStart + seconds(200));
-  cr_assert(!runs.CompletedSince(kRequest, kStart - seconds(1)));
+  RecentCompletions completions;
+  completions.Note(kRequest, kStart);
+  cr_assert(completions.CompletedSince(kRequest, kStart - seconds(1)));
+  cr_assert(!completions.CompletedSince(kRequest, kStart), "not after");
+  completions.Note(6, kStart + seconds(59));
+  cr_assert(completions.CompletedSince(kRequest, kStart - seconds(1)));
+  completions.Note(7, kStart + seconds(130));
+  completions.Note(8, kStart + seconds(200));
+  cr_assert(!completions.CompletedSince(kRequest, kStart - seconds(1)));
 }
 
 Test(recent_runs, is_bounded) {
-  RecentCompletions runs;
-  for (RequestFingerprint request = 0; request < 100000; ++request) runs.Note(request, kStart);
-  cr_assert(!runs.CompletedSince(0, kStart - seconds(1)));
-  cr_assert(runs.CompletedSince(99999, kStart - seconds(1)));
+  RecentCompletions completions;
+  for (RequestFingerprint request = 0; request < 100000; ++request)
+    completions.Note(request, kStart);
+  cr_assert(!completions.CompletedSince(0, kStart - seconds(1)));
+  cr_assert(completions.CompletedSince(99999, kStart - seconds(1)));
 }
 
 }  // namespace
--- a/libs/quarantine/tests/request_fingerprint_test.cc
+++ b/libs/quarantine/tests/request_fingerprint_test.cc
@@ -9,7 +9,7 @@
 
 const RequestIdentity kIdentity{"POST", "chat.example", "/a/b", "tenant-1", "prompt"};
 
-Test(request_fingerprint, the_same_request_has_the_same_one) {
+Test(request_fingerprint, the_same_request_has_the_same_fingerprint) {
   cr_assert(FingerprintOf(kIdentity) == FingerprintOf(kIdentity));
 }
 
@@ -21,7 +21,7 @@
   others[2].target = "/a/c";
   others[3].caller = "tenant-2";
   others[4].body = "prompt.";
-  // Bytes that move from one field to the next.
+  // Bytes that moved from one field to another.
   others[5].host = "chat.example/a";
   others[5].target = "/b";
   for (const RequestIdentity& other : others) {
