--- a/libs/retries/include/cartsail/retries/bucket_counts.h
+++ b/libs/retries/include/cartsail/retries/bucket_counts.h
@@ -1,4 +1,4 @@
-// Events counted by the numbered bucket of time in which they lie. Pure.
+// Event counts per numbered time bucket. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
  public:
   void Add(int64_t bucket) { ++counts_[bucket]; }
 
-  // Forgets the buckets before `bucket`.
+  // Drops the buckets before `bucket`.
   void Forget(int64_t bucket) { counts_.erase(counts_.begin(), counts_.lower_bound(bucket)); }
 
-  // Events in `bucket` and later.
+  // Number of events in `bucket` and later ones.
   int64_t Since(int64_t bucket) const;
 
   const std::map<int64_t, int64_t>& Counts() const { return counts_; }
@@ -22,7 +22,8 @@
   std::map<int64_t, int64_t> counts_;
 };
 
-// Gives Since() for buckets that only rise, each count being looked at once.
+// Computes BucketCounts::Since() for a non-decreasing sequence of buckets, visiting each count
+// once. The BucketCounts must not change meanwhile.
 class SuffixSumCursor {
  public:
   explicit SuffixSumCursor(const BucketCounts& counts)
--- a/libs/retries/include/cartsail/retries/extra_budget_lease.h
+++ b/libs/retries/include/cartsail/retries/extra_budget_lease.h
@@ -1,4 +1,4 @@
-// When the holder of the lease on the extra repeats may give them out. Pure.
+// Tells when the holder of the lease on the extra retries may grant them. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,12 @@
   explicit ExtraBudgetLease(const RetryBudgetOptions& options)
       : wait_(ExtraHandoverDelay(options)) {}
 
-  // The lease's token while this node holds it; to be told whenever it is asked for, and at least
-  // once a lease.
+  // `token`: the lease's token; nullopt if this node does not hold the lease. Call before each
+  // Holds(), and at least once per lease duration.
   void Note(std::optional<int64_t> token, TimePoint now);
 
-  // Another holder's repeats no longer count. Holds for the moment of the last Note().
+  // True if this node holds the lease, as of the last Note(), and the retries that a previous
+  // holder granted no longer count.
   bool Holds(TimePoint now) const { return token_.has_value() && now >= from_; }
 
  private:
--- a/libs/retries/include/cartsail/retries/retry_budget.h
+++ b/libs/retries/include/cartsail/retries/retry_budget.h
@@ -1,8 +1,7 @@
-// Bounds the repeats of a service over all nodes: in every window, those that reach its back ends
-// are at most `ratio` for each request and `extra` beside them. No node has to know of another one
-// for that: a repeat is paid for by a request that came to this process, by the part of the extra
-// that the holder of its lease gives out, or by another node that takes it out of its own budget.
-// Pure.
+// Bounds the retries of a service over all nodes: in every window, at most `ratio` retries per
+// request plus `extra` reach its backends. Nodes need no knowledge of each other for this: each
+// retry is paid for by a request that this process received, by the share of `extra` that the
+// holder of its lease grants, or by another node that takes it from its own budget. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,70 +15,75 @@
 namespace cartsail {
 
 struct RetryBudgetOptions {
-  double ratio = 0.2;             // repeats allowed per request
-  double extra = 10;              // repeats allowed beside these in one window, over all nodes
-  Duration window = seconds(10);  // at least a second
+  double ratio = 0.2;             // retries allowed per request
+  double extra = 10;              // further retries allowed per window, over all nodes
+  Duration window = seconds(10);  // at least 1 s
 };
 
-// For so long after the answer that lends it a repeat may be sent by the borrower.
+// Time after which the lender of a retry assumes that it has arrived. The borrower must send it
+// within the same time, counted from when it asked.
 Duration LoanValidity(const RetryBudgetOptions& options);
 
-// After the lease on the extra has passed to a node, its former holder's repeats count for so long.
+// How long the retries of the previous holder still count after the lease on the extra retries has
+// passed to another node.
 Duration ExtraHandoverDelay(const RetryBudgetOptions& options);
 
 enum class RetrySource : uint8_t {
-  kRequests,  // that came to this process
-  kExtra,
-  kLoan,  // of another node
+  kRequests,  // requests that this process received
+  kExtra,     // the extra retries
+  kLoan,      // the budget of another node
 };
 
 std::string_view RetrySourceName(RetrySource source);
 
-// The right to send one repeat. It counts as if it arrived at any moment until it is closed.
+// Permission to send one retry. Until it is closed or cancelled, it counts in every window, since
+// the retry may arrive at any time.
 struct RetryGrant {
   RetrySource source = RetrySource::kRequests;
-  TimePoint send_by = TimePoint::max();
+  TimePoint send_by = TimePoint::max();  // only limited for loans
 };
 
-// What one process may repeat of one service.
+// The retries that one process may send for one service.
 //
-// A request pays for half of `ratio` repeats in each window that ends within two windows after it:
-// half as a request of that window, half as one of the window before. The allowance goes by the
-// window or by the one before, whichever has more, which is never less than half of each; and since
-// this is a sum over requests, what all processes allow themselves adds up, whatever each of them
-// knows of the others. A process that starts has no requests, and so no repeats.
+// Each request pays for `ratio` / 2 retries in every window that ends within two windows after it:
+// one half as a request of that window, one half as a request of the window before. The overall
+// bound follows the larger of the two windows, which is never less than half of both together. As
+// the allowance is a sum over requests, the allowances of all processes add up to at most the bound
+// without coordination. A process that has just started has no requests, and so no retries.
 class ServiceRetryBudget {
  public:
   explicit ServiceRetryBudget(RetryBudgetOptions options);
 
-  // A request came for the service, within kMaxReadDelay of when its caller sent it.
+  // A request for the service was received within kMaxReadDelay of when its client sent it.
   void NoteRequest(TimePoint received);
 
-  // Takes one repeat; nothing when none is left. `extra_share`: the part of the extra that this
-  // node may give out now.
+  // Takes one retry; nullopt if none is left. `extra_share`: the share of `extra`, from 0 to 1,
+  // that this node may grant now.
   std::optional<RetryGrant> Take(TimePoint now, double extra_share);
 
-  // Takes one for another node, which sends it within LoanValidity().
+  // Takes one retry for another node, which sends it within LoanValidity(). Returns false if none
+  // is left.
   bool Lend(TimePoint now, double extra_share);
 
-  // Another node has lent one, which it was asked for at `asked`.
+  // Returns the grant for a retry that another node has lent; it was requested at `asked`.
   RetryGrant TakeLoan(TimePoint asked);
 
-  // The repeat has been sent, and reaches the back end by `arrives_by` at the latest.
+  // The retry was sent and reaches the backend by `arrives_by` at the latest. A borrowed one that
+  // may arrive after its `send_by` counts in this budget too.
   void Close(const RetryGrant& grant, TimePoint arrives_by);
 
-  // The repeat will not be sent.
+  // The retry will not be sent.
   void Cancel(const RetryGrant& grant);
 
-  // Retries that could be taken now.
+  // Retries that could be taken now; fractional, and negative if more are in use than allowed.
   double RemainingRequestBudget(TimePoint now) const;
   double RemainingExtraBudget(TimePoint now, double extra_share) const;
 
  private:
   // Retries that may arrive in a window.
   struct Retries {
-    int64_t open = 0;    // they may arrive at any moment from now on
-    TimeSeries arrived;  // the latest moment at which each of the others may have arrived
+    int64_t open = 0;    // not closed: may arrive at any time from now on
+    TimeSeries arrived;  // latest possible arrival of each closed one
   };
 
   int64_t BucketAt(TimePoint time) const;
@@ -89,7 +93,7 @@
   RetryBudgetOptions options_;
   Duration bucket_width_;
   BucketCounts requests_;
-  Retries request_retries_;  // and borrowed ones that arrive later than their lender counted on
+  Retries request_retries_;  // including borrowed ones that arrive later than the lender assumes
   Retries extra_retries_;
   Retries borrowed_retries_;
 };
--- a/libs/retries/include/cartsail/retries/time_series.h
+++ b/libs/retries/include/cartsail/retries/time_series.h
@@ -1,4 +1,4 @@
-// Moments in order, of which only the last ones are looked at. Pure.
+// Sorted timestamps, optimized for access to the latest ones. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,13 @@
 
 class TimeSeries {
  public:
-  // Cheap for late moments.
+  // Cheap if few timestamps are later than `time`.
   void Add(TimePoint time);
 
-  // Forgets the moments up to `time`.
+  // Drops the timestamps up to and including `time`.
   void Forget(TimePoint time);
 
-  // Moments after `time`.
+  // Number of timestamps later than `time`.
   int64_t After(TimePoint time) const;
 
  private:
--- a/libs/retries/src/retry_budget.cc
+++ b/libs/retries/src/retry_budget.cc
@@ -8,13 +8,13 @@
 namespace cartsail {
 namespace {
 
-// Requests are counted by buckets; one of which a part is too old pays for nothing.
+// Requests are counted in buckets. A bucket that is partly too old is not counted.
 constexpr int64_t kBucketsPerWindow = 100;
 constexpr int64_t kBucketsPerLoan = 3;
-// From a grant until the repeat has reached a back end and is closed. Windows that end later than
-// one window after that are not looked at when it is granted.
+// Time from a grant until the retry has reached a backend and is closed. A grant is checked only
+// against windows that end at most one window later than that.
 constexpr int64_t kBucketsToArrive = 10;
-constexpr int64_t kWindowsPerRequest = 2;  // by one request
+constexpr int64_t kWindowsPerRequest = 2;  // windows whose retries one request pays for
 
 Duration BucketWidth(const RetryBudgetOptions& options) {
   return options.window / kBucketsPerWindow;
@@ -63,8 +63,8 @@
 
 void ServiceRetryBudget::Forget(TimePoint now) {
   requests_.Forget(BucketAt(now) - kWindowsPerRequest * kBucketsPerWindow);
-  for (Retries* repeats : {&request_retries_, &extra_retries_}) {
-    repeats->arrived.Forget(now - options_.window);
+  for (Retries* retries : {&request_retries_, &extra_retries_}) {
+    retries->arrived.Forget(now - options_.window);
   }
 }
 
@@ -73,18 +73,19 @@
   requests_.Add(BucketAt(received));
 }
 
-// The least that is left in any window that a repeat of now may arrive in. Both sums only fall from
-// one window to a later one: each is looked at where the other falls.
+// Minimum over all windows in which a retry granted now may arrive. Allowance and usage only fall
+// from one window to a later one: for each bucket, the allowance is taken at its end and the usage
+// at its start.
 double ServiceRetryBudget::RemainingRequestBudget(TimePoint now) const {
   const int64_t first = BucketAt(now);
   const int64_t late = (kMaxReadDelay + bucket_width_ - Duration(1)) / bucket_width_;
   const int64_t open = request_retries_.open + borrowed_retries_.open;
-  const double pays = options_.ratio / kWindowsPerRequest;
+  const double per_request = options_.ratio / kWindowsPerRequest;
   SuffixSumCursor requests(requests_);
   double least = std::numeric_limits<double>::max();
   for (int64_t bucket = first; bucket <= first + kBucketsPerWindow + kBucketsToArrive; ++bucket) {
     const int64_t oldest = bucket + 1 - kWindowsPerRequest * kBucketsPerWindow + late;
-    const double allowed = pays * static_cast<double>(requests.Since(oldest));
+    const double allowed = per_request * static_cast<double>(requests.Since(oldest));
     const TimePoint end = std::max(now, TimePoint(bucket * bucket_width_));
     const int64_t used = open + request_retries_.arrived.After(end - options_.window);
     least = std::min(least, allowed - static_cast<double>(used));
@@ -125,8 +126,8 @@
   const bool is_counted_by_lender =
       grant.source == RetrySource::kLoan && arrives_by <= grant.send_by;
   if (is_counted_by_lender) return;
-  Retries& repeats = grant.source == RetrySource::kExtra ? extra_retries_ : request_retries_;
-  repeats.arrived.Add(arrives_by);
+  Retries& retries = grant.source == RetrySource::kExtra ? extra_retries_ : request_retries_;
+  retries.arrived.Add(arrives_by);
 }
 
 void ServiceRetryBudget::Cancel(const RetryGrant& grant) { --RetriesOf(grant.source).open; }
--- a/libs/retries/src/stall_detector.cc
+++ b/libs/retries/src/stall_detector.cc
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr Duration kMaxBeatGap = milliseconds(400);
-// What waited is read in this time.
+// Data that queued up during a pause is read within this time.
 constexpr Duration kCatchUpTime = milliseconds(500);
 
 }  // namespace
