--- a/libs/streams/include/cartsail/streams/engine_entry.h
+++ b/libs/streams/include/cartsail/streams/engine_entry.h
@@ -1,7 +1,7 @@
-// What tells the processes behind an engine's id apart. Some engines keep their id when they start
-// again, perhaps with another version, and a node's list may be old. An entry that is read after
-// something was heard of the process, or a connection to it was made, tells: a process writes its
-// entry before it serves. Pure.
+// Distinguishes successive processes with the same engine id. Some engines keep their id across
+// restarts, possibly with another version, and a node's engine list may be outdated. An entry that
+// is read after data arrived from a process, or a connection to it was made, identifies that
+// process or a later one, since a process writes its entry before it serves. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,12 +13,12 @@
 
 struct EngineEntry {
   std::string version;
-  int64_t started_ms = 0;  // since the start of 1970, by the engine's clock; 0: it does not tell
+  int64_t started_ms = 0;  // process start, Unix time by the engine's clock; 0: not reported
 };
 
-// The process that wrote the stream's first event is the recorded one, by the entry that was read
-// since. Of another start nothing follows, even of the same version: a process of another one may
-// have run between.
+// True if `entry`, which must have been read after the stream's first event, is that of the
+// recorded process, which then wrote that event. A different start time proves nothing, even with
+// the same version: a process with another version may have run in between.
 inline bool BeganStream(const EngineEntry& entry, const StreamRecord& stream) {
   return entry.started_ms == stream.started_ms;
 }
--- a/libs/streams/include/cartsail/streams/stream_record.h
+++ b/libs/streams/include/cartsail/streams/stream_record.h
@@ -1,5 +1,5 @@
-// What is known of a stream that has begun: the version of the engine software that wrote its
-// events. What engines of two versions write does not fit together. Pure.
+// Record of a started stream: the version of the engine software that wrote its events. Events of
+// engines with different versions cannot be combined into one stream. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +10,32 @@
 
 namespace cartsail {
 
-// Names a stream by the request that brought its first event.
+// Identifies a stream by the request that received its first event.
 using StreamKey = uint64_t;
 
-// `tenant`: so that no caller takes up the stream of another one; empty where there are none.
+// `tenant` keeps clients from resuming streams of another tenant; empty if there are no tenants.
 StreamKey KeyOfStream(std::string_view service, std::string_view tenant,
                       std::string_view request_id);
 
 struct StreamRecord {
   StreamKey key = 0;
-  std::string version;        // opaque: equal to another one or not
-  std::string engine;         // id of the one whose event came first
-  int64_t started_ms = 0;     // when its process started, as its entry told; 0: it does not tell
-  bool is_confirmed = false;  // a list of engines that holds since then names the same process
-  TimePoint begun;            // when its first event came
-  TimePoint until;            // its caller takes it up by then or never
+  std::string version;        // opaque, only compared for equality
+  std::string engine;         // id of the engine that sent the first event
+  int64_t started_ms = 0;     // EngineEntry::started_ms of that engine; 0: not reported
+  bool is_confirmed = false;  // an engine list valid after the first event names the same process
+  TimePoint begun;            // arrival of the first event
+  TimePoint until;            // the client may resume the stream until then
 };
 
-// How long a stream may be taken up after its first event, at most.
+// Longest time after its first event during which a stream may be resumed.
 inline constexpr Duration kMaxResumeTime = seconds(120);
 
-// A version of which no engine was seen for so long has written no event of a stream that still
-// lives, nor will a node that has lost touch begin one there.
+// How long a version is remembered after an engine of it was last seen. After that no live stream
+// has events of the version, and no node that has lost contact starts a stream at it.
 inline constexpr Duration kVersionRetention = std::chrono::minutes(20);
 
-// A node that was told that a version is in the ledger begins streams there for so long: far less
-// than the version is kept.
+// How long a node may start streams at a version after it was told that the ledger contains it; far
+// shorter than kVersionRetention.
 inline constexpr Duration kPermissionValidity = std::chrono::minutes(5);
 
 }  // namespace cartsail
--- a/libs/streams/include/cartsail/streams/stream_records.h
+++ b/libs/streams/include/cartsail/streams/stream_records.h
@@ -1,4 +1,5 @@
-// The begun streams that a node knows, each for as long as it may be taken up; bounded. Pure.
+// The started streams that a node knows, each kept while it may be resumed. Bounded in size.
+// Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,16 +14,17 @@
 
 class StreamRecords {
  public:
-  // Some 120 bytes each.
+  // About 120 bytes each.
   static constexpr size_t kMaxRecords = 32768;
 
-  // Beyond `most` those that end first are forgotten.
+  // If there are more than `max_records`, the ones that expire first are dropped.
   explicit StreamRecords(size_t max_records = kMaxRecords) : max_records_(max_records) {}
 
-  // A stream has one version: where two are told, none is known from then on.
+  // Adds a record, or merges it into the known one of the same stream: the later `until` and a
+  // confirmation are taken over. If the versions differ, the stream counts as unknown from then on.
   void Note(const std::string& service, const StreamRecord& record, TimePoint now);
 
-  // What is not confirmed is looked at: `is_confirmed` tells of a record whether it is by now.
+  // Calls `is_confirmed` for each unconfirmed record and marks those for which it returns true.
   template <typename IsConfirmed>
   void Confirm(IsConfirmed is_confirmed) {
     std::erase_if(unconfirmed_, [&](StreamKey key) {
@@ -34,13 +36,13 @@
     });
   }
 
-  // nullptr: not known.
+  // Returns nullptr if the stream is unknown or can no longer be resumed.
   const StreamRecord* Find(StreamKey key, TimePoint now) const;
 
-  // Those of `service`.
+  // The records of `service` that Find() would return.
   std::vector<StreamRecord> Of(const std::string& service, TimePoint now) const;
 
-  // Forgets what has ended. To be called about once a second.
+  // Drops expired records. Call about once a second.
   void Expire(TimePoint now);
 
   size_t Size() const { return entries_.size(); }
@@ -49,7 +51,7 @@
   struct Entry {
     std::string service;
     StreamRecord record;
-    bool is_contradicted = false;
+    bool is_contradicted = false;  // records with different versions were noted
     std::multimap<TimePoint, StreamKey>::iterator end;
   };
 
--- a/libs/streams/include/cartsail/streams/version_history.h
+++ b/libs/streams/include/cartsail/streams/version_history.h
@@ -1,4 +1,4 @@
-// The versions of engine software that a node has seen lately, by service. Pure.
+// The versions of engine software that a node has seen recently, by service. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -11,21 +11,22 @@
 
 class VersionHistory {
  public:
-  // An engine is listed now. `version`: not empty.
+  // An engine of `version` (not empty) is in the engine list at `now`.
   void NoteListed(const std::string& service, const std::string& version, TimePoint now);
 
-  // Versions of `service` that were listed within kVersionRetention, in alphabetical order.
+  // Versions of `service` that were listed within kVersionRetention, sorted.
   std::vector<std::string> VersionsOf(const std::string& service, TimePoint now) const;
 
   bool IsMixed(const std::string& service, TimePoint now) const {
     return VersionsOf(service, now).size() > 1;
   }
 
-  // Forgets what is too old. To be called about once a second.
+  // Drops versions that were last listed before kVersionRetention. Call about once a second.
   void Expire(TimePoint now);
 
  private:
-  std::map<std::string, std::map<std::string, TimePoint>> versions_;  // by service: last listed
+  // By service and version: when an engine of the version was last listed.
+  std::map<std::string, std::map<std::string, TimePoint>> versions_;
 };
 
 }  // namespace cartsail
--- a/libs/streams/include/cartsail/streams/version_ledger.h
+++ b/libs/streams/include/cartsail/streams/version_ledger.h
@@ -1,6 +1,7 @@
-// The versions of one service at which streams may have begun, as the store keeps them. A node
-// begins streams at a version only when it knows that the ledger has it. So whoever reads the
-// ledger after a stream has begun, and finds one version there, knows the stream's. Pure.
+// The engine versions of one service at which streams may have started, as kept in the store. A
+// node starts streams at a version only when it knows that the ledger contains it. A reader that
+// finds a single version in the ledger after a stream has started therefore knows the stream's
+// version. Performs no I/O.
 #pragma once
 
 #include <optional>
@@ -20,28 +21,27 @@
 
   void Add(const std::string& version);
 
-  // Leaves those of `kept` only. True when that changes it.
+  // Removes all versions that are not in `kept`. Returns true if any was removed.
   bool KeepOnly(const std::vector<std::string>& kept);
 
-  // A JSON array of strings.
+  // Returns a JSON array of strings.
   std::string Encode() const;
 
-  // Nothing when `text` is no ledger.
+  // Parses the format of Encode(); nullopt if `text` is malformed.
   static std::optional<VersionLedger> Decode(std::string_view text);
 
  private:
-  std::vector<std::string> versions_;  // in alphabetical order, each once
+  std::vector<std::string> versions_;  // sorted, unique
 };
 
-// What was read of the ledger after a stream had begun, and what else bears on whether it can be
-// trusted.
+// The ledger as read after a stream had started, and what determines whether it can be trusted.
 struct LedgerSnapshot {
-  std::optional<VersionLedger> ledger;  // nothing: the store has none
-  std::vector<std::string> listed;      // versions whose engines the reader has seen lately
-  bool has_earlier_builds = false;      // nodes live that begin streams without asking the ledger
+  std::optional<VersionLedger> ledger;  // nullopt: not in the store
+  std::vector<std::string> listed;      // versions of engines that the reader has seen recently
+  bool has_earlier_builds = false;      // some live nodes start streams without asking the ledger
 };
 
-// The only version at which the stream can have begun; nothing: there may be another one.
-std::optional<std::string> OnlyVersion(const LedgerSnapshot& reading);
+// The only version at which the stream can have started; nullopt if there may be several.
+std::optional<std::string> OnlyVersion(const LedgerSnapshot& snapshot);
 
 }  // namespace cartsail
--- a/libs/streams/src/version_ledger.cc
+++ b/libs/streams/src/version_ledger.cc
@@ -45,12 +45,12 @@
   return VersionLedger(std::move(versions));
 }
 
-std::optional<std::string> OnlyVersion(const LedgerSnapshot& reading) {
-  if (!reading.ledger.has_value() || reading.ledger->Versions().size() != 1) return std::nullopt;
-  const std::string& version = reading.ledger->Versions().front();
+std::optional<std::string> OnlyVersion(const LedgerSnapshot& snapshot) {
+  if (!snapshot.ledger.has_value() || snapshot.ledger->Versions().size() != 1) return std::nullopt;
+  const std::string& version = snapshot.ledger->Versions().front();
   const auto is_other = [&version](const std::string& listed) { return listed != version; };
-  const bool has_other = std::any_of(reading.listed.begin(), reading.listed.end(), is_other);
-  if (reading.has_earlier_builds && has_other) return std::nullopt;
+  const bool has_other = std::any_of(snapshot.listed.begin(), snapshot.listed.end(), is_other);
+  if (snapshot.has_earlier_builds && has_other) return std::nullopt;
   return version;
 }
 
--- a/libs/streams/tests/stream_records_test.cc
+++ b/libs/streams/tests/stream_records_test.cc
@@ -13,7 +13,7 @@
   return {key, version, "e-1", 0, false, kStart, kStart + lasts};
 }
 
-Test(stream_records, a_stream_is_known_as_long_as_it_may_be_taken_up) {
+Test(stream_records, a_stream_is_known_while_it_may_be_resumed) {
   StreamRecords records;
   records.Note("s", RecordOf(1, "v1"), kStart);
   const StreamRecord* known = records.Find(1, kStart + seconds(15));
@@ -24,8 +24,8 @@
   cr_assert(records.Size() == 0);
 }
 
-// One of the two is wrong, and nobody knows which.
-Test(stream_records, a_stream_of_which_two_versions_are_told_is_not_known) {
+// One of the two versions is wrong, and there is no way to tell which.
+Test(stream_records, conflicting_versions_make_a_stream_unknown) {
   StreamRecords records;
   records.Note("s", RecordOf(1, "v1"), kStart);
   records.Note("s", RecordOf(1, "v1", seconds(20)), kStart);
@@ -49,19 +49,19 @@
   cr_assert(endless.Find(1, kStart + kMaxResumeTime + seconds(1)) == nullptr);
 }
 
-Test(stream_records, are_confirmed_once_and_by_whoever_tells_so) {
+Test(stream_records, are_confirmed_once_by_check_or_by_report) {
   StreamRecords records;
   records.Note("s", RecordOf(1, "v1"), kStart);
   records.Note("s", RecordOf(2, "v1"), kStart);
   records.Confirm([](const StreamRecord& record) { return record.key == 1; });
   cr_assert(records.Find(1, kStart)->is_confirmed && !records.Find(2, kStart)->is_confirmed);
-  StreamRecord told = RecordOf(2, "v1");
-  told.is_confirmed = true;
-  records.Note("s", told, kStart);
+  StreamRecord confirmed = RecordOf(2, "v1");
+  confirmed.is_confirmed = true;
+  records.Note("s", confirmed, kStart);
   cr_assert(records.Find(2, kStart)->is_confirmed);
-  int looked_at = 0;
-  records.Confirm([&looked_at](const StreamRecord&) { return ++looked_at > 0; });
-  cr_assert(looked_at == 0);
+  int checked = 0;
+  records.Confirm([&checked](const StreamRecord&) { return ++checked > 0; });
+  cr_assert(checked == 0);
 }
 
 Test(stream_records, are_listed_by_service) {
@@ -78,7 +78,7 @@
   cr_assert(key != KeyOfStream("s", "u", "r") && key != KeyOfStream("t", "t", "r"));
 }
 
-Test(version_history, a_service_is_mixed_until_a_version_was_not_seen_for_long) {
+Test(version_history, a_service_is_mixed_until_a_version_expires) {
   VersionHistory history;
   history.NoteListed("s", "v1", kStart);
   cr_assert(!history.IsMixed("s", kStart));
@@ -92,8 +92,9 @@
   cr_assert(history.VersionsOf("s", kStart + kVersionRetention).size() == 1);
 }
 
-// An engine ran v1, v2 and v1 again under one id: a stream of v2 was taken for one of v1.
-Test(engine_entry, only_the_same_start_speaks_for_a_stream) {
+// Guards against taking a stream of v2 for one of v1 after an engine ran v1, v2 and v1 again under
+// the same id.
+Test(engine_entry, only_the_same_start_time_matches_a_stream) {
   StreamRecord stream = RecordOf(1, "v1");
   stream.started_ms = 900'000;
   cr_assert(BeganStream({"v1", 900'000}, stream));
