--- a/libs/reachability/include/cartsail/reachability/path_table.h
+++ b/libs/reachability/include/cartsail/reachability/path_table.h
@@ -1,7 +1,7 @@
-// Which back ends this node does not reach on its own paths, though other nodes do. A connection
-// that fails tells nothing by itself: the back end may have ended, or the path to it may be cut. It
-// is the path once another node has reached the back end since. Nothing of this is kept or told as
-// a belief about a back end. Pure.
+// Tracks the backends that this node cannot reach over its own network paths although other nodes
+// can. A failed connection alone does not tell whether the backend has exited or the path to it is
+// cut. It is the path if another node has reached the backend since. This state concerns paths only
+// and is neither stored nor sent to other nodes as the state of a backend. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -17,30 +17,33 @@
 
 class PathTable {
  public:
-  // A new connection of this node's own was made, and stands.
+  // This node established a new connection to the backend itself, and it stayed open.
   void NoteConnected(BackendKey backend, TimePoint now);
 
-  // One could not be made, or broke before anything came on it.
+  // A connection of this node to the backend could not be established, or broke before any data
+  // arrived on it.
   void NoteFailed(BackendKey backend, TimePoint now);
 
-  // Another node has connected to the back end. True when that makes the path count as cut.
+  // Another node has connected to the backend. Returns true if that marks the path as cut: a
+  // connection of this node failed within the last 5 s, and the path was not marked before.
   bool NoteReachedByOther(BackendKey backend, TimePoint now);
 
-  // Conversations with the back end are to go over another node. Where all paths are lost that
-  // holds for each back end, known to this table or not.
+  // True if traffic to the backend must go through another node. If all paths are lost, this holds
+  // for every backend, known to this table or not.
   bool IsCut(BackendKey backend) const;
 
-  // Several paths were found cut one after the other, and no connection was made since: this node
-  // has lost its paths, and need not find out for each back end.
+  // True if several paths were found cut in succession and no connection was established since.
+  // This node then treats all its paths as lost and need not try each backend.
   bool HasLostAllPaths() const { return has_lost_all_; }
 
-  // Back ends to which this node is to try a connection now: few at a time, the less often the
-  // longer the path has been cut. A path that comes back is found so, not by a caller's request.
-  std::vector<BackendKey> TakeProbes(TimePoint now, size_t most);
+  // Returns up to `max_count` backends with cut paths to which this node is to try a connection
+  // now, the longest overdue first. Probes become rarer the longer a path is cut. They detect a
+  // restored path without risking a client's request.
+  std::vector<BackendKey> TakeProbes(TimePoint now, size_t max_count);
 
   size_t CutPaths() const { return cut_.size(); }
 
-  // Forgets all back ends but those that `is_known` holds.
+  // Drops all backends for which `is_known` returns false.
   void ForgetUnless(const std::function<bool(BackendKey backend)>& is_known);
 
  private:
@@ -49,7 +52,7 @@
     int probes = 0;
   };
 
-  std::unordered_map<BackendKey, TimePoint> failed_;  // the last failure, none was made since
+  std::unordered_map<BackendKey, TimePoint> failed_;  // last failure, with no connection since
   std::unordered_map<BackendKey, CutPath> cut_;
   std::unordered_set<BackendKey> consecutive_cuts_;  // since a connection was made last
   bool has_lost_all_ = false;
--- a/libs/reachability/include/cartsail/reachability/reachability_evidence.h
+++ b/libs/reachability/include/cartsail/reachability/reachability_evidence.h
@@ -1,41 +1,41 @@
-// What connections that several nodes try at one moment say of a back end that this node does not
-// reach. Pure.
+// Combines the results of connections that several nodes try at the same time to a backend that
+// this node cannot reach. Performs no I/O.
 #pragma once
 
 #include <cstdint>
 
 namespace cartsail {
 
-// How one connection to a back end ended.
+// Result of one connection attempt to a backend.
 enum class ConnectResult : uint8_t {
   kConnected,
-  kRefused,  // its host answers that nobody listens there, or the path refuses
-  kFailed,   // no answer in time, or no way there
+  kRefused,  // by the backend's host, as no process listens there, or by the network path
+  kFailed,   // no answer in time, or no route
 };
 
 enum class PathVerdict {
-  kReachable,    // this node reaches it
-  kCut,          // another node does: it is the path
-  kEnded,        // refused to all that tried: its process has ended
-  kUnreachable,  // nobody that tried reaches it, for more than one reason
-  kUnknown,      // nobody else could try
+  kReachable,    // this node reaches the backend
+  kCut,          // another node reaches it: this node's path is cut
+  kEnded,        // all nodes that tried were refused: the process has exited
+  kUnreachable,  // no node that tried reaches it, but not all were refused
+  kUnknown,      // no other node has tried
 };
 
 class ReachabilityEvidence {
  public:
-  // `own`: of this node's connection, which was not made. `may_ask`: there are nodes that could try
-  // too.
+  // `own`: the result of this node's own attempt, which was not kConnected. `may_ask`: there are
+  // other nodes that could try too.
   ReachabilityEvidence(ConnectResult own, bool may_ask) : own_(own), may_ask_(may_ask) {}
 
-  // Of another node that tried.
+  // Adds the result of another node's attempt.
   void Note(ConnectResult result);
 
-  // One that connects settles it.
+  // True once another node has connected: further results do not change the verdict.
   bool IsSettled() const { return connected_; }
 
-  // A refusal that one node alone has seen is no proof that a process has ended: where the paths of
-  // five nodes of eight refused connections, 57 requests were held responsible for ends that were
-  // none. A node that knows of no other one has nobody to ask.
+  // A refusal seen by one node alone does not prove that the process has exited: when the paths of
+  // five of eight nodes refused connections, 57 requests were held responsible for exits that had
+  // not happened. Only a node that knows no other node relies on its own refusal.
   PathVerdict Verdict() const;
 
  private:
--- a/libs/reachability/src/path_table.cc
+++ b/libs/reachability/src/path_table.cc
@@ -5,10 +5,10 @@
 namespace cartsail {
 namespace {
 
-// Another node's connection says something of a failure here for so long.
+// How long after a failure here another node's connection shows that the path was its cause.
 constexpr Duration kFailureValidity = seconds(5);
-// Paths that are found cut in turn, with no connection made between, tell that all are. With one a
-// single cut path would send all conversations over others.
+// Number of paths found cut, with no connection established in between, from which on all paths
+// count as lost. With one, a single cut path would send all traffic through other nodes.
 constexpr size_t kCutsToLoseAll = 2;
 constexpr Duration kFirstProbeDelay = milliseconds(500);
 constexpr Duration kMaxProbeDelay = seconds(2);
@@ -27,7 +27,7 @@
   consecutive_cuts_.clear();
   if (!has_lost_all_) return;
   has_lost_all_ = false;
-  // What ended the loss of one path has mostly ended that of the others.
+  // When one path is restored, the others usually are too: probe them at once.
   for (auto& [key, path] : cut_) path = {now, 0};
 }
 
@@ -44,7 +44,7 @@
 
 bool PathTable::IsCut(BackendKey backend) const { return has_lost_all_ || cut_.contains(backend); }
 
-std::vector<BackendKey> PathTable::TakeProbes(TimePoint now, size_t most) {
+std::vector<BackendKey> PathTable::TakeProbes(TimePoint now, size_t max_count) {
   std::vector<BackendKey> due;
   for (const auto& [backend, path] : cut_) {
     if (now >= path.next_probe) due.push_back(backend);
@@ -52,7 +52,7 @@
   const auto is_earlier = [this](BackendKey left, BackendKey right) {
     return cut_.at(left).next_probe < cut_.at(right).next_probe;
   };
-  const size_t taken = std::min(most, due.size());
+  const size_t taken = std::min(max_count, due.size());
   std::partial_sort(due.begin(), due.begin() + static_cast<std::ptrdiff_t>(taken), due.end(),
                     is_earlier);
   due.resize(taken);
--- a/libs/reachability/tests/path_table_test.cc
+++ b/libs/reachability/tests/path_table_test.cc
@@ -1,4 +1,4 @@
-// When a path of this node's own counts as cut, and when all of them do.
+// When one path of this node counts as cut, and when all of them count as lost.
 #include "cartsail/reachability/path_table.h"
 
 #include "testing/criterion.h"
@@ -16,22 +16,22 @@
   (void)table.NoteReachedByOther(backend, now + milliseconds(5));
 }
 
-Test(path_table, a_connection_that_fails_alone_tells_nothing_of_the_path) {
+Test(path_table, a_failed_connection_alone_proves_nothing) {
   PathTable table;
   table.NoteFailed(kOne, kStart);
   cr_assert(!table.IsCut(kOne));
   cr_assert(table.TakeProbes(kStart + seconds(10), 10).empty());
 }
 
-Test(path_table, that_another_node_connects_tells_nothing_where_none_failed_here) {
+Test(path_table, another_nodes_connection_proves_nothing_without_a_failure_here) {
   PathTable table;
   cr_assert(!table.NoteReachedByOther(kOne, kStart));
   cr_assert(!table.IsCut(kOne));
   table.NoteFailed(kOne, kStart);
-  cr_assert(!table.NoteReachedByOther(kOne, kStart + seconds(6)), "the failure is long past");
+  cr_assert(!table.NoteReachedByOther(kOne, kStart + seconds(6)), "the failure is too old");
 }
 
-Test(path_table, both_together_tell_that_the_path_is_cut_until_a_connection_stands) {
+Test(path_table, a_failure_here_and_a_connection_elsewhere_mark_the_path_cut) {
   PathTable table;
   Cut(table, kOne, kStart);
   cr_assert(table.IsCut(kOne) && !table.IsCut(kTwo) && !table.HasLostAllPaths());
@@ -39,17 +39,17 @@
   cr_assert(!table.IsCut(kOne));
 }
 
-Test(path_table, several_cut_in_turn_tell_that_all_are) {
+Test(path_table, consecutive_cuts_mean_that_all_paths_are_lost) {
   PathTable table;
   Cut(table, kOne, kStart);
   Cut(table, kTwo, kStart + milliseconds(10));
-  cr_assert(table.HasLostAllPaths() && table.IsCut(kThree), "not each has to be tried");
+  cr_assert(table.HasLostAllPaths() && table.IsCut(kThree), "without a failure of its own");
   table.NoteConnected(kThree, kStart + seconds(1));
   cr_assert(!table.HasLostAllPaths() && !table.IsCut(kThree));
-  cr_assert(table.IsCut(kOne) && table.IsCut(kTwo), "each of them is tried before it is used");
+  cr_assert(table.IsCut(kOne) && table.IsCut(kTwo), "each is probed before it is used");
 }
 
-Test(path_table, one_that_is_reached_between_tells_that_not_all_are) {
+Test(path_table, a_connection_in_between_resets_the_count) {
   PathTable table;
   Cut(table, kOne, kStart);
   table.NoteConnected(kThree, kStart + milliseconds(5));
@@ -57,8 +57,8 @@
   cr_assert(!table.HasLostAllPaths());
 }
 
-// 12 s with 40 cut paths: a connection for each would be 40 at a time.
-Test(path_table, few_probes_at_a_time_and_the_fewer_the_longer_it_lasts) {
+// 12 s with 40 cut paths: probing all of them at once would open 40 connections at a time.
+Test(path_table, probes_are_few_and_become_rarer) {
   PathTable table;
   for (BackendKey backend = 1; backend <= 40; ++backend) Cut(table, backend, kStart);
   size_t probes = 0;
@@ -70,8 +70,9 @@
   cr_assert(probes >= 40 && probes <= 300, "%zu", probes);
 }
 
-// The first one that comes back lets the others be tried at once, a few at a time.
-Test(path_table, paths_that_come_back_together_are_found_soon) {
+// Once the first path is restored, the others are due for probes at once; callers bound their
+// number.
+Test(path_table, once_one_path_is_restored_the_others_are_probed) {
   PathTable table;
   for (BackendKey backend = 1; backend <= 40; ++backend) Cut(table, backend, kStart);
   (void)table.TakeProbes(kStart + seconds(5), 40);
@@ -80,7 +81,7 @@
   cr_assert(table.TakeProbes(back, 100).size() == 39);
 }
 
-Test(path_table, back_ends_that_are_gone_are_forgotten) {
+Test(path_table, removed_backends_are_forgotten) {
   PathTable table;
   Cut(table, kOne, kStart);
   Cut(table, kTwo, kStart);
