--- a/libs/backend/include/cartsail/backend/engine_stream.h
+++ b/libs/backend/include/cartsail/backend/engine_stream.h
@@ -1,5 +1,5 @@
-// One answer being read from an engine: OpenAI chat completions with server-sent events, plus the
-// engines' extensions (request id, priority, resume from an offset, cancel).
+// Reads one streamed response from an engine: OpenAI chat completions with server-sent events, plus
+// the engines' extensions (request id, priority, resume from an offset, cancel).
 #pragma once
 
 #include <absl/status/status.h>
@@ -18,33 +18,33 @@
 
 namespace cartsail {
 
-// What an engine may have done with a request so far.
+// Whether an engine may have started a request.
 enum class RunState {
-  kNotStarted,      // provably not started: no byte was sent, or the engine refused it
-  kMayHaveStarted,  // bytes were sent, no answer yet
+  kNotStarted,      // provably not started: no bytes were sent, or the engine refused it
+  kMayHaveStarted,  // bytes may have been sent, and nothing proves that it was not started
   kStarted,         // the engine accepted it
 };
 
 struct EngineCall {
   Endpoint endpoint;
   std::string body;     // chat completion request, "stream": true
-  std::string attempt;  // unique id of this attempt; the engine runs an id once
-  std::string owner;    // opaque tag of the caller; the engine gives it back on resume
-  int priority = 0;     // 0 first
-  // A kept-alive connection may break in a way that hides whether bytes arrived; requests that
-  // may not run twice use a new one.
+  std::string attempt;  // unique id of this attempt; the engine runs each id only once
+  std::string owner;    // opaque tag of the client; the engine compares it on Resume()
+  int priority = 0;     // 0 is served first
+  // A kept-alive connection may break without showing whether the bytes arrived, so requests that
+  // must not run twice use a new one.
   bool fresh_connection = false;
   Duration connect_timeout = milliseconds(500);
-  Duration head_timeout = seconds(5);  // to the engine's acceptance
+  Duration head_timeout = seconds(5);  // for sending, and then for the response head
 };
 
 struct EngineEvent {
   enum class Kind { kToken, kFinished };
   Kind kind = Kind::kToken;
-  std::string data;           // the event's JSON as sent
-  std::string text;           // kToken: the text it adds
-  int64_t offset = 0;         // tokens up to and including this one
-  std::string finish_reason;  // kFinished
+  std::string data;           // the event's data as received: JSON, or the end marker
+  std::string text;           // generated text that the event adds
+  int64_t offset = 0;         // number of tokens up to and including this event
+  std::string finish_reason;  // kFinished: the engine's reason; empty for the end marker
 };
 
 // Belongs to one thread and one coroutine, except Close().
@@ -54,25 +54,27 @@
   ~EngineStream();
 
   // Sends the request. Errors: kConnectFailed, kConnectionLost, kTimeout, kBackendRefused (the
-  // engine did not start it), kMalformedRequest (the engine rejects the request as such; Detail()
-  // has its body), kBackendFailed. State() tells what the engine may have done.
+  // engine did not start it), kMalformedRequest (the engine rejected the request itself; Detail()
+  // returns the response body), kBackendFailed. State() tells whether it may have been started.
   boost::asio::awaitable<absl::Status> Open(const EngineCall& call);
 
-  // Takes up a stream at `offset`. kUnknownStream when the engine does not hold it or `owner` is
-  // not the tag that it was opened with.
+  // Resumes a stream at `offset`. Returns kUnknownStream if the engine does not have the stream or
+  // `owner` differs from the tag that it was opened with.
   boost::asio::awaitable<absl::Status> Resume(const std::string& attempt, int64_t offset,
                                               const std::string& owner);
 
-  // The next event; an empty optional after the end. kConnectionLost when the engine broke off,
-  // kSuperseded when another connection took over the stream.
+  // Returns the next event; nullopt after the end. Errors: kConnectionLost if the response was
+  // truncated, kSuperseded if another connection took over the stream, kBackendFailed for malformed
+  // events. `timeout` applies to each read.
   boost::asio::awaitable<absl::StatusOr<std::optional<EngineEvent>>> Next(Duration timeout);
 
-  // Ends a pending call with kConnectionLost. On the stream's thread.
+  // Makes a pending call fail with kConnectionLost. Call it on the stream's thread.
   void Close();
 
   RunState State() const { return state_; }
-  // True when the engine said it is leaving.
+  // True if the engine refused the request because it is shutting down.
   bool Leaving() const { return leaving_; }
+  // Response body of an engine that did not answer with status 200; otherwise empty.
   const std::string& Detail() const { return detail_; }
 
  private:
@@ -92,7 +94,7 @@
   std::string detail_;
 };
 
-// Tells the engine to stop computing a stream. Best effort.
+// Asks the engine to stop generating a stream. Best effort: errors are ignored.
 boost::asio::awaitable<void> CancelStream(boost::asio::any_io_executor executor, Endpoint endpoint,
                                           std::string attempt);
 
--- a/libs/backend/src/engine_stream.cc
+++ b/libs/backend/src/engine_stream.cc
@@ -15,7 +15,7 @@
 constexpr std::string_view kEndMarker = "[DONE]";
 constexpr std::string_view kSupersededEvent = "superseded";
 
-// The engine's JSON body of a refusal names why.
+// Returns error.kind of a refusal's JSON body; empty if there is none.
 std::string RefusalKind(const std::string& body) {
   const absl::StatusOr<json::object> object = ParseJsonObject(body);
   if (!object.ok()) return {};
@@ -82,7 +82,7 @@
   finished_ = true;
   const std::string kind = RefusalKind(detail_);
   leaving_ = kind == "leaving";
-  // Only an explicit word of the engine proves that nothing was started.
+  // Only this header proves that the engine did not start the request.
   if (head.Header("X-Not-Started") == "true") state_ = RunState::kNotStarted;
   if (head.status == 404) {
     co_return MakeError(ErrorKind::kUnknownStream, "the engine does not hold this stream");
--- a/libs/membership/src/member_table.cc
+++ b/libs/membership/src/member_table.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// 20 heartbeats a second at the base interval of 250 ms; see docs/CAPACITY.md for their bytes.
+// 20 heartbeats per second at the base interval of 250 ms; docs/CAPACITY.md lists their bytes.
 constexpr size_t kPeersAtBaseInterval = 5;
 
 }  // namespace
@@ -65,7 +65,7 @@
   std::vector<std::string> suspects;
   for (auto& [id, member] : members_) {
     if (id == options_.self) continue;
-    // Heartbeats that came while this process slept are still unread: do not blame the sender.
+    // Heartbeats that arrived during the pause are still unread, so it does not count as silence.
     if (was_paused_) member.last_heard += gap;
     const Duration timeout = std::max(options_.suspect_after, member.interval * kSuspectIntervals);
     const bool silent = now - member.last_heard > timeout;
--- a/libs/membership/tests/member_table_test.cc
+++ b/libs/membership/tests/member_table_test.cc
@@ -13,7 +13,7 @@
   return MemberTable({.self = self, .zone = zone}, kStart);
 }
 
-Test(members, a_listed_node_owns_nothing_before_it_was_heard) {
+Test(members, a_listed_node_owns_nothing_before_its_first_heartbeat) {
   MemberTable table = MakeTable();
   Member listed;
   listed.id = "n2";
@@ -42,8 +42,8 @@
   cr_assert(table.LiveCount() == 2);
 }
 
-// With many peers heartbeats are rarer; a member is judged by the interval that it told.
-Test(members, patience_follows_the_interval_told) {
+// With many peers heartbeats are rarer, so the timeout of a member follows its announced interval.
+Test(members, the_timeout_follows_the_announced_interval) {
   cr_assert(HeartbeatInterval(milliseconds(250), 5) == milliseconds(250));
   cr_assert(HeartbeatInterval(milliseconds(250), 27) == milliseconds(1350));
   MemberTable table = MakeTable();
@@ -55,7 +55,7 @@
   cr_assert(now < kStart + milliseconds(3800));
 }
 
-// A process that was paused must not take everyone else for lost.
+// A process that was paused must not suspect all other members.
 Test(members, after_a_pause_of_its_own_a_node_suspects_nobody) {
   MemberTable table = MakeTable();
   table.Heard("n2", "z1", "a:1", false, kStart);
@@ -79,7 +79,7 @@
   cr_assert(table.OwnerOf("e1", "z9") == "n1");
 }
 
-// Losing one of ten nodes moves only what it owned.
+// Draining one of ten nodes moves only the engines that it owned.
 Test(members, ownership_moves_little) {
   MemberTable table = MakeTable("n0");
   for (int i = 1; i < 10; ++i) table.Heard("n" + std::to_string(i), "z1", "a:1", false, kStart);
--- a/libs/routing/include/cartsail/routing/route_table.h
+++ b/libs/routing/include/cartsail/routing/route_table.h
@@ -1,4 +1,4 @@
-// Look-ups in one routing document. Immutable after it was built. Pure.
+// Lookups in one routing document. Immutable once built. Performs no I/O.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -16,15 +16,17 @@
 
 class RouteTable {
  public:
-  // kInvalidSetting when the document is not valid.
+  // Returns kInvalidSetting if the document is invalid.
   static absl::StatusOr<std::shared_ptr<const RouteTable>> Build(RoutingDocument document);
 
-  // The rule of `host` (a port is ignored) with the longest prefix of `path`, or nullptr.
+  // The rule of `host` (its port is ignored) with the longest prefix that matches `path`; nullptr
+  // if there is none.
   const RouteRule* FindRoute(std::string_view host, std::string_view path) const;
 
-  // The tenant that holds `api_key`, or nullptr.
+  // The tenant that holds `api_key`; nullptr if there is none.
   const TenantRule* FindTenant(std::string_view api_key) const;
 
+  // Returns nullptr if the document has no such service.
   const ServiceRule* FindService(std::string_view name) const;
 
   // Names of the services that are model engines.
@@ -39,14 +41,14 @@
   explicit RouteTable(RoutingDocument document);
 
   RoutingDocument document_;
-  // Per host, longest prefix first.
+  // By lower-case host, longest prefix first.
   std::unordered_map<std::string, std::vector<const RouteRule*>> routes_;
   std::unordered_map<std::string, const TenantRule*> tenants_by_key_;
   std::unordered_map<std::string, const ServiceRule*> services_;
 };
 
-// The service of `route` for a request: shares are honoured by weight, and one request id always
-// gets the same service.
+// Selects the service of `route` for a request. Requests are divided by the weights of the shares,
+// and the same request id always gets the same service. The first service if no weight is positive.
 const std::string& PickService(const RouteRule& route, std::string_view request_id);
 
 }  // namespace cartsail
--- a/libs/routing/src/routing_document.cc
+++ b/libs/routing/src/routing_document.cc
@@ -9,7 +9,7 @@
 namespace cartsail {
 namespace {
 
-absl::Status Fault(const std::string& message) {
+absl::Status InvalidDocument(const std::string& message) {
   return MakeError(ErrorKind::kInvalidSetting, message);
 }
 
@@ -19,16 +19,24 @@
 
 absl::Status ValidateRoute(const RouteRule& route, const std::set<std::string>& services) {
   if (!IsPathPrefix(route.path_prefix)) {
-    return Fault(fmt::format("route {}: path prefix must begin and end with '/'", route.name));
+    return InvalidDocument(fmt::format("route {}: path prefix '{}' must begin and end with '/'",
+                                       route.name, route.path_prefix));
+  }
+  if (route.host.empty()) return InvalidDocument(fmt::format("route {}: no host", route.name));
+  if (route.shares.empty()) {
+    return InvalidDocument(fmt::format("route {}: no services", route.name));
   }
-  if (route.host.empty()) return Fault(fmt::format("route {}: no host", route.name));
-  if (route.shares.empty()) return Fault(fmt::format("route {}: no service", route.name));
   for (const ServiceShare& share : route.shares) {
     if (services.count(share.service) != 0) continue;
-    return Fault(fmt::format("route {}: unknown service {}", route.name, share.service));
+    return InvalidDocument(fmt::format("route {}: unknown service {}", route.name, share.service));
+  }
+  if (route.max_attempts < 1) {
+    return InvalidDocument(fmt::format("route {}: max_attempts is {}, must be at least 1",
+                                       route.name, route.max_attempts));
+  }
+  if (route.timeout <= Duration::zero()) {
+    return InvalidDocument(fmt::format("route {}: timeout must be positive", route.name));
   }
-  if (route.max_attempts < 1) return Fault(fmt::format("route {}: no attempts", route.name));
-  if (route.timeout <= Duration::zero()) return Fault(fmt::format("route {}: no time", route.name));
   return absl::OkStatus();
 }
 
@@ -40,7 +48,7 @@
   std::set<std::string> route_names;
   for (const RouteRule& route : document.routes) {
     if (!route_names.insert(route.name).second) {
-      return Fault(fmt::format("route {} stands twice", route.name));
+      return InvalidDocument(fmt::format("duplicate route name {}", route.name));
     }
     const absl::Status valid = ValidateRoute(route, services);
     if (!valid.ok()) return valid;
--- a/libs/routing/tests/route_table_test.cc
+++ b/libs/routing/tests/route_table_test.cc
@@ -58,27 +58,27 @@
   for (int i = 0; i < 100; ++i) cr_assert(PickService(route, std::to_string(i)) == "t");
 }
 
-Test(routes, faults_are_named) {
-  const auto fault_of = [](const std::function<void(RoutingDocument&)>& change) {
+Test(routes, errors_name_the_route) {
+  const auto error_of = [](const std::function<void(RoutingDocument&)>& change) {
     RoutingDocument document = MakeDocument();
     change(document);
     return ValidateRoutingDocument(document);
   };
   cr_assert(ValidateRoutingDocument(MakeDocument()).ok());
-  const std::vector<absl::Status> faults = {
-      fault_of([](RoutingDocument& d) { d.routes[0].path_prefix = "/a"; }),
-      fault_of([](RoutingDocument& d) { d.routes[0].host.clear(); }),
-      fault_of([](RoutingDocument& d) {
+  const std::vector<absl::Status> errors = {
+      error_of([](RoutingDocument& d) { d.routes[0].path_prefix = "/a"; }),
+      error_of([](RoutingDocument& d) { d.routes[0].host.clear(); }),
+      error_of([](RoutingDocument& d) {
         d.routes[0].shares = {{"none", 1}};
       }),
-      fault_of([](RoutingDocument& d) { d.routes[0].shares.clear(); }),
-      fault_of([](RoutingDocument& d) { d.routes[0].max_attempts = 0; }),
-      fault_of([](RoutingDocument& d) { d.routes[0].timeout = Duration(0); }),
-      fault_of([](RoutingDocument& d) { d.routes[1].name = "short"; }),
+      error_of([](RoutingDocument& d) { d.routes[0].shares.clear(); }),
+      error_of([](RoutingDocument& d) { d.routes[0].max_attempts = 0; }),
+      error_of([](RoutingDocument& d) { d.routes[0].timeout = Duration(0); }),
+      error_of([](RoutingDocument& d) { d.routes[1].name = "short"; }),
   };
-  for (const absl::Status& fault : faults) {
-    cr_assert(KindOf(fault) == ErrorKind::kInvalidSetting);
-    cr_assert(fault.message().find("short") != absl::string_view::npos);
+  for (const absl::Status& error : errors) {
+    cr_assert(KindOf(error) == ErrorKind::kInvalidSetting);
+    cr_assert(error.message().find("short") != absl::string_view::npos);
   }
 }
 
