--- a/libs/base/include/cartsail/base/clock.h
+++ b/libs/base/include/cartsail/base/clock.h
@@ -1,5 +1,5 @@
-// Time as the decision logic sees it: points and durations in nanoseconds, handed in with every
-// event. Pure code never reads a clock.
+// Clocks, points in time and durations, in nanoseconds. Decision logic never reads a clock: it is
+// passed the time with every event.
 #pragma once
 
 #include <time.h>
@@ -10,15 +10,15 @@
 
 using Duration = std::chrono::nanoseconds;
 
-// Never jumps back, and goes on while the machine is suspended: leases, deadlines and ages hold for
-// the world outside, which does not stand still. std::chrono::steady_clock does: a node that was
-// suspended for 5 s would take a lease of 3 s for valid.
+// Monotonic clock that keeps running while the machine is suspended, as leases, deadlines and ages
+// require: time passes for all other machines. std::chrono::steady_clock stops during suspension,
+// so a node that was suspended for 5 s would still consider a lease of 3 s valid.
 struct BootClock {
   using duration = Duration;
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<BootClock>;
-  static constexpr bool is_steady = true;  // NOLINT(readability-identifier-naming): as chrono asks
+  static constexpr bool is_steady = true;  // NOLINT(readability-identifier-naming): chrono's name
 
   static time_point now() noexcept {
     timespec time{};
@@ -34,7 +34,7 @@
 
 inline TimePoint Now() { return BootClock::now(); }
 
-// The time of day of this machine, since the start of 1970. It may jump.
+// This machine's time of day, since the Unix epoch. May jump in either direction.
 inline std::chrono::milliseconds WallNow() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
--- a/libs/base/include/cartsail/base/counters.h
+++ b/libs/base/include/cartsail/base/counters.h
@@ -1,5 +1,5 @@
-// The process's own counters. Every counter is named and documented here and nowhere else;
-// docs/OPERATIONS.md repeats the table and a test holds the two together.
+// Metrics of this process: counters and gauges. This table is the single place that defines their
+// names and help texts; docs/OPERATIONS.md repeats it, and a test compares the two.
 #pragma once
 
 #include <atomic>
@@ -8,7 +8,7 @@
 
 namespace cartsail {
 
-// X(name, kind, help): kind is `counter` (only grows) or `gauge`.
+// X(name, kind, help): `kind` is `counter` (only increases) or `gauge`.
 #define CARTSAIL_COUNTERS(X)                                                                       \
   X(requests_total, counter, "Requests received from callers")                                     \
   X(requests_completed_total, counter, "Requests answered completely")                             \
@@ -125,7 +125,7 @@
   X(log_lines_dropped_total, counter, "Log lines dropped to keep the log bounded")                 \
   X(ready, gauge, "1 if this node asks the balancer for traffic")
 
-// Kinds used by the table above.
+// A counter or gauge of the table above. Thread-safe.
 struct Counter {
   std::atomic<int64_t> value{0};
   void Add(int64_t amount = 1) { value.fetch_add(amount, std::memory_order_relaxed); }
@@ -139,10 +139,10 @@
 #undef CARTSAIL_DECLARE_COUNTER
 };
 
-// The counters of this process. Thread-safe.
+// The metrics of this process. Thread-safe.
 Counters& GlobalCounters();
 
-// All counters in the text exposition format, each prefixed `cartsail_`.
+// Renders all metrics in the Prometheus text exposition format, with the prefix `cartsail_`.
 std::string RenderCounters(const Counters& counters);
 
 }  // namespace cartsail
--- a/libs/base/include/cartsail/base/flags.h
+++ b/libs/base/include/cartsail/base/flags.h
@@ -1,5 +1,5 @@
-// Command-line flags with environment variables behind them: --listen and CARTSAIL_LISTEN. A thin
-// layer over TCLAP that adds the variables, ranges and typed errors.
+// Command-line flags with environment variables as fallback, such as --listen and CARTSAIL_LISTEN.
+// A thin layer over TCLAP that adds the variables, ranges and typed errors.
 #pragma once
 
 #include <absl/status/status.h>
@@ -14,30 +14,34 @@
 
 class FlagSet {
  public:
-  // `variable_prefix` such as "CARTSAIL_".
+  // `variable_prefix` begins the names of the environment variables, such as "CARTSAIL_".
   FlagSet(std::string program, std::string description, std::string variable_prefix);
   ~FlagSet();
   FlagSet(const FlagSet&) = delete;
   FlagSet& operator=(const FlagSet&) = delete;
 
-  // Declares a flag whose value goes to `*target`, which holds the default.
+  // Declares a flag whose value is stored in `*target`, which initially holds the default. Bounds
+  // are inclusive.
   void Text(const std::string& name, const std::string& help, std::string* target);
   void Integer(const std::string& name, const std::string& help, int64_t* target, int64_t minimum,
                int64_t maximum);
   void Real(const std::string& name, const std::string& help, double* target, double minimum,
             double maximum);
-  // A value that `parse` accepts; `allowed` describes what that is.
+  // Declares a flag with a custom parser that returns false for values that are not allowed.
+  // `allowed` describes the allowed values for the help and for errors.
   void Parsed(const std::string& name, const std::string& help, const std::string& default_text,
               const std::string& allowed, std::function<bool(const std::string&)> parse);
-  // Words that stand without a flag.
+  // Declares the positional arguments, which are stored in `*target`.
   void PositionalArguments(const std::string& name, const std::string& help,
                            std::vector<std::string>* target);
 
-  // Flags win over variables, variables over defaults. kInvalidArgument names the flag and what is
-  // allowed. `--help` and `--version` print and set `*exit_now`.
+  // Flags take precedence over variables, and variables over defaults. Returns kInvalidArgument for
+  // an unknown flag or a value that is not allowed; the message then names the flag or variable
+  // and, for a value, what is allowed. `--help` and `--version` print their text and set
+  // `*exit_now`.
   absl::Status Parse(const std::vector<std::string>& arguments, bool* exit_now);
 
-  // The variable behind a flag: "machine-lag" -> "CARTSAIL_MACHINE_LAG".
+  // Name of a flag's environment variable: "machine-lag" -> "CARTSAIL_MACHINE_LAG".
   std::string EnvironmentVariable(const std::string& name) const;
 
  private:
--- a/libs/base/include/cartsail/base/histogram.h
+++ b/libs/base/include/cartsail/base/histogram.h
@@ -1,5 +1,5 @@
-// Latency histograms of this process. Every histogram is named and documented here and nowhere
-// else; docs/OPERATIONS.md repeats the table and a test holds the two together.
+// Latency histograms of this process. This table is the single place that defines their names and
+// help texts; docs/OPERATIONS.md repeats it, and a test compares the two.
 #pragma once
 
 #include <array>
@@ -11,7 +11,7 @@
 
 namespace cartsail {
 
-// X(name, help): all in milliseconds.
+// X(name, help): all histograms are in milliseconds.
 #define CARTSAIL_HISTOGRAMS(X)                                                           \
   X(request_answered_ms, "From a request's arrival to the end of its whole answer")      \
   X(request_refused_ms, "From a request's arrival to its refusal, not run")              \
@@ -22,14 +22,14 @@
   X(document_spread_ms, "From a document's first node in force to this one")             \
   X(catalog_fetch_ms, "Fetches of a catalog from another node, failed ones too")
 
-// Counts by upper bound, doubling from 1 ms; the last bucket has no bound. Thread-safe.
+// Histogram whose bucket bounds double from 1 ms; the last bucket is unbounded. Thread-safe.
 class Histogram {
  public:
   static constexpr int kBounds = 16;  // 1 ms to 32,768 ms
 
   void Note(Duration duration);
 
-  // Lines of the text exposition format.
+  // Renders the histogram in the Prometheus text exposition format, with cumulative buckets.
   std::string Render(const std::string& name, const std::string& help) const;
 
  private:
@@ -47,7 +47,7 @@
 // The histograms of this process. Thread-safe.
 Histograms& GlobalHistograms();
 
-// All histograms in the text exposition format, each prefixed `cartsail_`.
+// Renders all histograms in the Prometheus text exposition format, with the prefix `cartsail_`.
 std::string RenderHistograms(const Histograms& histograms);
 
 }  // namespace cartsail
--- a/libs/base/include/cartsail/base/log.h
+++ b/libs/base/include/cartsail/base/log.h
@@ -1,6 +1,7 @@
-// Structured logs on standard output: one key=value line for each decision that touches a request
-// and each change of what the process believes. The volume is bounded and writing never blocks:
-// lines beyond the limit, or that a full pipe does not take, are dropped and counted.
+// Structured logs on standard output: one key=value line for each decision that affects a request
+// and each change of the process's view of the system. The volume is bounded and writing never
+// blocks: lines beyond the rate limit, or beyond the buffer while the pipe is full, are dropped and
+// counted.
 #pragma once
 
 #include <initializer_list>
@@ -19,25 +20,27 @@
   std::string value;
 };
 
-// Sets the least level that is written. The default is kInfo.
+// Sets the lowest level that is written. The default is kInfo; kOff writes nothing.
 void SetLogLevel(LogLevel level);
 
-// Parses "debug", "info", "warning", "error" or "off"; false if it is none of them.
+// Parses "debug", "info", "warning", "error" or "off". Returns false for anything else.
 bool ParseLogLevel(std::string_view text, LogLevel* level);
 
-// Writes `ts=... level=... event=EVENT key=value ...`; values are quoted where needed.
+// Writes `ts=... level=... event=EVENT key=value ...`, with values quoted where needed.
+// Thread-safe.
 void Log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields = {});
 
-// Writes what a full pipe did not take, as far as it takes it now. For the end of the process and
-// its housekeeping.
+// Writes buffered lines as far as the pipe accepts them without blocking. Called periodically and
+// at the end of the process.
 void FlushLog();
 
-// Lines of one kind that may be written: `rate` a second, and `burst` at once. Routine lines (up
-// to kInfo) and others have a limit each, so that failures are not crowded out.
+// Token bucket for log lines: `rate` lines per second and bursts of `burst` lines. Routine lines
+// (up to kInfo) and others have separate limits, so that routine lines do not crowd out failures.
 class LogRateLimit {
  public:
   LogRateLimit(double rate, double burst) : rate_(rate), burst_(burst), tokens_(burst) {}
 
+  // Returns whether a line may be written at `now`, and takes a token if so.
   bool Take(TimePoint now);
 
  private:
--- a/libs/base/include/cartsail/base/signals.h
+++ b/libs/base/include/cartsail/base/signals.h
@@ -1,13 +1,13 @@
-// Signals that come while a process starts: held back until there is someone to take them.
+// Defers signals that arrive while the process starts until their handlers are installed.
 #pragma once
 
 namespace cartsail {
 
-// Blocks SIGHUP, SIGINT and SIGTERM for this thread and those it starts. To be called first in
-// main(): until their handlers stand, each of them would end the process.
+// Blocks SIGHUP, SIGINT and SIGTERM for this thread and the threads that it starts. To be called
+// first in main(): until its handler is installed, each of these signals would end the process.
 void BlockSignals();
 
-// Lets them through; those that came meanwhile are delivered now.
+// Unblocks the signals for this thread; those that arrived meanwhile are delivered now.
 void UnblockSignals();
 
 }  // namespace cartsail
--- a/libs/base/include/cartsail/base/text.h
+++ b/libs/base/include/cartsail/base/text.h
@@ -1,4 +1,4 @@
-// Text helpers of Abseil for std::string_view, which Debian's Abseil does not take.
+// Text helpers for std::string_view, which the functions of Debian's Abseil do not accept.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,16 @@
 bool EqualsIgnoreCase(std::string_view left, std::string_view right);
 bool StartsWithIgnoreCase(std::string_view text, std::string_view prefix);
 
-// Without white space at both ends.
+// Returns `text` without white space at both ends.
 std::string_view Trimmed(std::string_view text);
 
-// The trimmed fields between separators; empty ones are left out.
+// Splits `text` at the separators into trimmed fields and omits empty ones.
 std::vector<std::string_view> SplitFields(std::string_view text, char separator);
 
-// A whole decimal number; false when the text is anything else.
+// Parses a decimal integer. Returns false if the text is anything else.
 bool ParseInteger(std::string_view text, int64_t* value);
 
-// A whole hexadecimal number without a prefix; false when the text is anything else.
+// Parses a hexadecimal integer without a prefix. Returns false if the text is anything else.
 bool ParseHexadecimal(std::string_view text, uint64_t* value);
 
 }  // namespace cartsail
--- a/libs/base/include/cartsail/base/timer.h
+++ b/libs/base/include/cartsail/base/timer.h
@@ -1,4 +1,4 @@
-// Timers by the clock that all points in time are taken from.
+// Asio timers that run on BootClock.
 #pragma once
 
 #include <algorithm>
@@ -8,8 +8,9 @@
 
 namespace cartsail {
 
-// The operating system's waits stand still while the machine is suspended: no wait is longer than
-// this, and what came due meanwhile is noticed by then. Nodes wake up more often anyway.
+// Longest wait before a timer checks the clock again. The operating system's waits stop while the
+// machine is suspended, so this bounds how late an expiry during a suspension is noticed. Nodes
+// wake up more often anyway.
 inline constexpr Duration kMaxTimerWait = milliseconds(100);
 
 struct BootWaitTraits {
--- a/libs/base/src/flags.cc
+++ b/libs/base/src/flags.cc
@@ -35,8 +35,8 @@
   std::string variable_prefix;
   TCLAP::CmdLine line;
   std::vector<Flag> flags;
-  std::unique_ptr<TCLAP::UnlabeledMultiArg<std::string>> words;
-  std::vector<std::string>* words_target = nullptr;
+  std::unique_ptr<TCLAP::UnlabeledMultiArg<std::string>> positional;
+  std::vector<std::string>* positional_target = nullptr;
 };
 
 FlagSet::FlagSet(std::string program, std::string description, std::string variable_prefix)
@@ -100,9 +100,10 @@
 
 void FlagSet::PositionalArguments(const std::string& name, const std::string& help,
                                   std::vector<std::string>* target) {
-  impl_->words = std::make_unique<TCLAP::UnlabeledMultiArg<std::string>>(name, help, false, name);
-  impl_->line.add(*impl_->words);
-  impl_->words_target = target;
+  impl_->positional =
+      std::make_unique<TCLAP::UnlabeledMultiArg<std::string>>(name, help, false, name);
+  impl_->line.add(*impl_->positional);
+  impl_->positional_target = target;
 }
 
 absl::Status FlagSet::Parse(const std::vector<std::string>& arguments, bool* exit_now) {
@@ -134,7 +135,7 @@
         ErrorKind::kInvalidArgument,
         fmt::format("{}: '{}' is not allowed; allowed: {}", source, text, flag.allowed));
   }
-  if (impl_->words != nullptr) *impl_->words_target = impl_->words->getValue();
+  if (impl_->positional != nullptr) *impl_->positional_target = impl_->positional->getValue();
   return absl::OkStatus();
 }
 
--- a/libs/base/src/histogram.cc
+++ b/libs/base/src/histogram.cc
@@ -20,11 +20,11 @@
 std::string Histogram::Render(const std::string& name, const std::string& help) const {
   std::string text =
       fmt::format("# HELP cartsail_{0} {1}\n# TYPE cartsail_{0} histogram\n", name, help);
-  int64_t below = 0;
+  int64_t cumulative = 0;
   int64_t bound = 1;
   for (int i = 0; i < kBounds; ++i, bound *= 2) {
-    below += buckets_[static_cast<size_t>(i)].load(std::memory_order_relaxed);
-    text += fmt::format("cartsail_{}_bucket{{le=\"{}\"}} {}\n", name, bound, below);
+    cumulative += buckets_[static_cast<size_t>(i)].load(std::memory_order_relaxed);
+    text += fmt::format("cartsail_{}_bucket{{le=\"{}\"}} {}\n", name, bound, cumulative);
   }
   const int64_t count = count_.load(std::memory_order_relaxed);
   text += fmt::format("cartsail_{}_bucket{{le=\"+Inf\"}} {}\n", name, count);
--- a/libs/base/src/log.cc
+++ b/libs/base/src/log.cc
@@ -16,11 +16,11 @@
 namespace {
 
 constexpr double kLinesPerSecond = 300;
-constexpr double kLinesAtOnce = 600;
-constexpr size_t kMostPendingBytes = 1 << 16;
-constexpr size_t kMostBytesAtOnce = 4096;  // a pipe that polls as writable takes so many
+constexpr double kBurstLines = 600;
+constexpr size_t kMaxPendingBytes = 1 << 16;
+constexpr size_t kMaxWriteBytes = 4096;  // a pipe that polls as writable accepts at least this many
 
-std::atomic<LogLevel> g_least_level{LogLevel::kInfo};
+std::atomic<LogLevel> g_min_level{LogLevel::kInfo};
 
 constexpr std::string_view kLevelNames[] = {"debug", "info", "warning", "error", "off"};
 
@@ -45,14 +45,14 @@
   return quoted;
 }
 
-// Standard output, written only when it takes the bytes at once.
+// Writes to standard output without blocking; buffers what it does not accept.
 class LogSink {
  public:
   void Write(LogLevel level, const std::string& line) {
     const std::lock_guard<std::mutex> lock(mutex_);
     Counters& counters = GlobalCounters();
-    LogRateLimit& limit = level <= LogLevel::kInfo ? routine_ : notable_;
-    const bool fits = pending_.size() + line.size() <= kMostPendingBytes;
+    LogRateLimit& limit = level <= LogLevel::kInfo ? routine_ : important_;
+    const bool fits = pending_.size() + line.size() <= kMaxPendingBytes;
     if (!fits || !limit.Take(Now())) {
       counters.log_lines_dropped_total.Add();
       ++dropped_;
@@ -76,7 +76,7 @@
     while (!pending_.empty()) {
       pollfd output{STDOUT_FILENO, POLLOUT, 0};
       if (poll(&output, 1, 0) <= 0 || (output.revents & POLLOUT) == 0) return;
-      const size_t size = std::min(pending_.size(), kMostBytesAtOnce);
+      const size_t size = std::min(pending_.size(), kMaxWriteBytes);
       const ssize_t written = write(STDOUT_FILENO, pending_.data(), size);
       if (written <= 0) return;
       pending_.erase(0, static_cast<size_t>(written));
@@ -86,8 +86,8 @@
   std::mutex mutex_;
   std::string pending_;
   int64_t dropped_ = 0;
-  LogRateLimit routine_{kLinesPerSecond, kLinesAtOnce};
-  LogRateLimit notable_{kLinesPerSecond, kLinesAtOnce};
+  LogRateLimit routine_{kLinesPerSecond, kBurstLines};
+  LogRateLimit important_{kLinesPerSecond, kBurstLines};
 };
 
 LogSink& Sink() {
@@ -108,7 +108,7 @@
 
 void FlushLog() { Sink().Flush(); }
 
-void SetLogLevel(LogLevel level) { g_least_level.store(level); }
+void SetLogLevel(LogLevel level) { g_min_level.store(level); }
 
 bool ParseLogLevel(std::string_view text, LogLevel* level) {
   for (int i = 0; i <= static_cast<int>(LogLevel::kOff); ++i) {
@@ -120,7 +120,7 @@
 }
 
 void Log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
-  if (level < g_least_level.load(std::memory_order_relaxed)) return;
+  if (level < g_min_level.load(std::memory_order_relaxed)) return;
   const auto now =
       std::chrono::time_point_cast<std::chrono::milliseconds>(std::chrono::system_clock::now());
   const auto whole = std::chrono::floor<std::chrono::seconds>(now);
--- a/libs/base/src/text.cc
+++ b/libs/base/src/text.cc
@@ -9,22 +9,22 @@
 namespace cartsail {
 namespace {
 
-absl::string_view Abseil(std::string_view text) { return {text.data(), text.size()}; }
+absl::string_view ToAbseil(std::string_view text) { return {text.data(), text.size()}; }
 
-std::string_view Standard(absl::string_view text) { return {text.data(), text.size()}; }
+std::string_view ToStandard(absl::string_view text) { return {text.data(), text.size()}; }
 
 }  // namespace
 
 bool EqualsIgnoreCase(std::string_view left, std::string_view right) {
-  return absl::EqualsIgnoreCase(Abseil(left), Abseil(right));
+  return absl::EqualsIgnoreCase(ToAbseil(left), ToAbseil(right));
 }
 
 bool StartsWithIgnoreCase(std::string_view text, std::string_view prefix) {
-  return absl::StartsWithIgnoreCase(Abseil(text), Abseil(prefix));
+  return absl::StartsWithIgnoreCase(ToAbseil(text), ToAbseil(prefix));
 }
 
 std::string_view Trimmed(std::string_view text) {
-  return Standard(absl::StripAsciiWhitespace(Abseil(text)));
+  return ToStandard(absl::StripAsciiWhitespace(ToAbseil(text)));
 }
 
 std::vector<std::string_view> SplitFields(std::string_view text, char separator) {
@@ -40,7 +40,7 @@
 }
 
 bool ParseInteger(std::string_view text, int64_t* value) {
-  return absl::SimpleAtoi(Abseil(text), value);
+  return absl::SimpleAtoi(ToAbseil(text), value);
 }
 
 bool ParseHexadecimal(std::string_view text, uint64_t* value) {
--- a/libs/base/tests/clock_test.cc
+++ b/libs/base/tests/clock_test.cc
@@ -1,6 +1,6 @@
-// The clock that leases, deadlines and ages are taken from goes on while the machine is suspended.
-// The steady clock stands still then: a node that was suspended for longer than its lease took it
-// for valid, and what it had heard long ago for news.
+// Tests that the clock for leases, deadlines and ages keeps running while the machine is suspended.
+// The steady clock stops then: with it, a node that was suspended for longer than its lease still
+// considered the lease valid, and old messages recent.
 #include "cartsail/base/clock.h"
 
 #include "testing/criterion.h"
--- a/libs/base/tests/log_test.cc
+++ b/libs/base/tests/log_test.cc
@@ -26,18 +26,18 @@
   cr_assert(taken == 5);
 }
 
-// Standard output is a pipe that nobody reads: writing goes on, without waiting, and counts what is
-// dropped; what was kept comes out when the pipe is read.
+// Standard output is a pipe that is not read: writing must not block, and dropped lines are
+// counted. The buffered lines are written once the pipe is read.
 Test(log, a_full_pipe_drops_lines_and_never_blocks) {
   int ends[2];
   cr_assert(pipe(ends) == 0);
   const int saved = dup(STDOUT_FILENO);
   dup2(ends[1], STDOUT_FILENO);
-  const TimePoint begun = Now();
+  const TimePoint started = Now();
   for (int i = 0; i < 500; ++i) {
     Log(LogLevel::kInfo, "filler", {{"text", std::string(1000, 'x')}});
   }
-  const bool quick = Now() - begun < seconds(5);
+  const bool is_fast = Now() - started < seconds(5);
   const int64_t dropped = GlobalCounters().log_lines_dropped_total.Get();
   const int64_t kept = GlobalCounters().log_lines_total.Get();
   std::string text(1 << 20, '\0');
@@ -52,7 +52,7 @@
   const ssize_t size = read(ends[0], text.data(), text.size());
   if (size > 0) read_back.append(text, 0, static_cast<size_t>(size));
   dup2(saved, STDOUT_FILENO);
-  cr_assert(quick);
+  cr_assert(is_fast);
   cr_assert(dropped > 0 && kept > 0 && dropped + kept == 500);
   cr_assert(read_back.find("event=log_dropped lines=" + std::to_string(dropped)) !=
             std::string::npos);
