--- a/libs/config/include/cartsail/config/tree.h
+++ b/libs/config/include/cartsail/config/tree.h
@@ -1,6 +1,6 @@
-// The operators' tree of settings: root > tenant > service > class. A level inherits every value
-// that it does not give itself. The tree is stored as one JSON document per branch: one for the
-// root, one for each tenant with its services and classes.
+// The operators' settings tree: root > tenant > service > class. A level inherits every value that
+// it does not set itself. The tree is stored as one JSON document per branch: one for the root, and
+// one for each tenant with its services and classes.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -16,7 +16,7 @@
 
 namespace cartsail {
 
-// A place in the tree: "root", "TENANT", "TENANT/SERVICE" or "TENANT/SERVICE/CLASS".
+// A node of the tree: "root", "TENANT", "TENANT/SERVICE" or "TENANT/SERVICE/CLASS".
 struct TreePath {
   std::string tenant;  // empty: the root
   std::string service;
@@ -27,9 +27,11 @@
   bool operator==(const TreePath&) const = default;
 };
 
-// kInvalidSetting when `text` is not a path (names are [a-z0-9._-], at most 63 characters).
+// Parses a path. Returns kInvalidSetting if `text` is not one. Names consist of 1 to 63 characters
+// of [a-z0-9._-]; "root" is reserved.
 absl::StatusOr<TreePath> ParseTreePath(std::string_view text);
 
+// Values by the name of the setting.
 using SettingMap = std::map<std::string, std::string, std::less<>>;
 
 struct ServiceNode {
@@ -37,15 +39,15 @@
   std::map<std::string, SettingMap, std::less<>> classes;
 };
 
-// A caller's API key: only its hash is kept.
+// A caller's API key, of which only the hash is stored.
 struct KeyEntry {
   std::string id;      // shown in lists and logs
   std::string sha256;  // lower-case hexadecimal
 };
 
-// One stored document: the root's (name empty) or a tenant's.
+// The content of one stored document: that of the root or of a tenant.
 struct Branch {
-  std::string tenant;
+  std::string tenant;    // empty: the root
   int64_t revision = 0;  // the configuration revision that last changed this branch
   bool deleted = false;
   SettingMap settings;
@@ -53,23 +55,23 @@
   std::map<std::string, ServiceNode, std::less<>> services;
 };
 
-// One change of one value. An unset `value` removes the override.
+// A change of one setting at one node. An empty `value` removes the override.
 struct Edit {
   TreePath path;
   std::string setting;
   std::optional<std::string> value;
 };
 
-// Parses a stored document. kInvalidSetting when it is not one.
+// Parses a stored document. Returns kInvalidSetting if it is malformed.
 absl::StatusOr<Branch> ParseBranch(std::string_view tenant, std::string_view text);
 
-// The stored form; ParseBranch() reads it back.
+// Returns the stored form of a branch, which ParseBranch() reads back.
 std::string SerializeBranch(const Branch& branch);
 
-// The overrides standing at `path` in `branch`, or nullptr when the path does not exist there.
+// Returns the overrides at `path` in `branch`, or nullptr if the branch has no such path.
 const SettingMap* FindSettings(const Branch& branch, const TreePath& path);
 
-// Applies `edit`; creates the service or class that it names. Does not validate values.
+// Applies `edit` and creates the service and class of its path if needed. Does not validate values.
 void ApplyEdit(Branch& branch, const Edit& edit);
 
 }  // namespace cartsail
--- a/libs/config/src/policy.cc
+++ b/libs/config/src/policy.cc
@@ -13,20 +13,20 @@
 
 constexpr size_t kSha256HexLength = 64;
 
-// The levels above and including a path, lowest first.
-struct Chain {
+// The overrides at a path and at the levels above it, lowest first; null where a level is absent.
+struct InheritanceChain {
   const SettingMap* class_settings = nullptr;
   const SettingMap* service_settings = nullptr;
   const SettingMap* tenant_settings = nullptr;
   const SettingMap* root_settings = nullptr;
 };
 
-struct Found {
+struct LookupResult {
   std::string_view value;
   std::string_view level;
 };
 
-Found Lookup(const Chain& chain, const SettingSpec& spec) {
+LookupResult Lookup(const InheritanceChain& chain, const SettingSpec& spec) {
   struct Step {
     const SettingMap* settings;
     SettingLevel level;
@@ -43,34 +43,36 @@
   return {spec.default_value, "default"};
 }
 
-std::string_view TextOf(const Chain& chain, std::string_view name) {
+std::string_view TextValue(const InheritanceChain& chain, std::string_view name) {
   return Lookup(chain, *FindSetting(name)).value;
 }
 
-int64_t IntegerOf(const Chain& chain, std::string_view name) {
-  const std::string_view text = TextOf(chain, name);
+int64_t IntegerValue(const InheritanceChain& chain, std::string_view name) {
+  const std::string_view text = TextValue(chain, name);
   int64_t value = 0;
   if (!absl::SimpleAtoi(absl::string_view(text.data(), text.size()), &value)) return 0;
   return value;
 }
 
-double FractionOf(const Chain& chain, std::string_view name) {
-  const std::string_view text = TextOf(chain, name);
+double FractionValue(const InheritanceChain& chain, std::string_view name) {
+  const std::string_view text = TextValue(chain, name);
   double value = 0;
   if (!absl::SimpleAtod(absl::string_view(text.data(), text.size()), &value)) return 0;
   return value;
 }
 
-Duration DurationOf(const Chain& chain, std::string_view name) {
+Duration DurationValue(const InheritanceChain& chain, std::string_view name) {
   double value = 0;
-  if (!ParseDurationSeconds(TextOf(chain, name), &value)) return Duration(0);
+  if (!ParseDurationSeconds(TextValue(chain, name), &value)) return Duration(0);
   return FromSeconds(value);
 }
 
-bool BooleanOf(const Chain& chain, std::string_view name) { return TextOf(chain, name) == "true"; }
+bool BooleanValue(const InheritanceChain& chain, std::string_view name) {
+  return TextValue(chain, name) == "true";
+}
 
-Chain ChainOf(const Branch& root, const Branch* tenant, const TreePath& path) {
-  Chain chain;
+InheritanceChain MakeChain(const Branch& root, const Branch* tenant, const TreePath& path) {
+  InheritanceChain chain;
   chain.root_settings = &root.settings;
   if (tenant == nullptr) return chain;
   chain.tenant_settings = &tenant->settings;
@@ -90,7 +92,7 @@
       continue;
     }
     if ((spec->levels & path.Level()) == 0) {
-      faults->push_back(fmt::format("{}: {} may not stand at {} level", path.ToString(), name,
+      faults->push_back(fmt::format("{}: {} is not allowed at {} level", path.ToString(), name,
                                     LevelName(path.Level())));
       continue;
     }
@@ -106,7 +108,7 @@
   for (const KeyEntry& key : branch.keys) {
     if (key.id.empty() || !ids.insert(key.id).second) {
       faults->push_back(
-          fmt::format("{}: key id '{}' is empty or stands twice", branch.tenant, key.id));
+          fmt::format("{}: key id '{}' is empty or duplicate", branch.tenant, key.id));
     }
     if (key.sha256.size() != kSha256HexLength) {
       faults->push_back(fmt::format("{}: key {} has no SHA-256 hash", branch.tenant, key.id));
@@ -114,7 +116,7 @@
   }
 }
 
-// Faults that only show when values of several levels meet in one class.
+// Checks rules between settings of one class, which may be set at different levels.
 void ValidateClass(const Branch& root, const Branch& branch, const std::string& service,
                    const std::string& class_name, std::vector<std::string>* faults) {
   const absl::StatusOr<ClassPolicy> policy = ResolveClass(root, branch, service, class_name);
@@ -122,7 +124,7 @@
   const TreePath path{branch.tenant, service, class_name};
   if (policy->max_wait > policy->deadline) {
     faults->push_back(
-        fmt::format("{}: max_wait is longer than deadline in force", path.ToString()));
+        fmt::format("{}: max_wait is longer than the deadline in force", path.ToString()));
   }
 }
 
@@ -131,7 +133,7 @@
 absl::StatusOr<ClassPolicy> ResolveClass(const Branch& root, const Branch& tenant,
                                          std::string_view service, std::string_view class_name) {
   const TreePath path{tenant.tenant, std::string(service), std::string(class_name)};
-  const Chain chain = ChainOf(root, &tenant, path);
+  const InheritanceChain chain = MakeChain(root, &tenant, path);
   if (chain.service_settings == nullptr) {
     return MakeError(ErrorKind::kUnknownService, "the tenant has no such service");
   }
@@ -142,25 +144,25 @@
   policy.tenant = path.tenant;
   policy.service = path.service;
   policy.class_name = path.class_name;
-  policy.tier = static_cast<int>(IntegerOf(chain, "tier"));
-  policy.ttft_target = DurationOf(chain, "ttft_target");
-  policy.token_interval_target = DurationOf(chain, "token_interval_target");
-  policy.max_wait = DurationOf(chain, "max_wait");
-  policy.deadline = DurationOf(chain, "deadline");
-  policy.repeatable = BooleanOf(chain, "repeatable");
-  policy.preemptible = BooleanOf(chain, "preemptible") && policy.repeatable;
-  policy.resume_grace = DurationOf(chain, "resume_grace");
-  policy.retry_budget = FractionOf(chain, "retry_budget");
-  policy.rate_limit = IntegerOf(chain, "rate_limit");
-  policy.max_in_flight = IntegerOf(chain, "max_in_flight");
-  policy.backend = TextOf(chain, "backend");
+  policy.tier = static_cast<int>(IntegerValue(chain, "tier"));
+  policy.ttft_target = DurationValue(chain, "ttft_target");
+  policy.token_interval_target = DurationValue(chain, "token_interval_target");
+  policy.max_wait = DurationValue(chain, "max_wait");
+  policy.deadline = DurationValue(chain, "deadline");
+  policy.repeatable = BooleanValue(chain, "repeatable");
+  policy.preemptible = BooleanValue(chain, "preemptible") && policy.repeatable;
+  policy.resume_grace = DurationValue(chain, "resume_grace");
+  policy.retry_budget = FractionValue(chain, "retry_budget");
+  policy.rate_limit = IntegerValue(chain, "rate_limit");
+  policy.max_in_flight = IntegerValue(chain, "max_in_flight");
+  policy.backend = TextValue(chain, "backend");
   return policy;
 }
 
 FleetPolicy ResolveFleet(const Branch& root) {
-  const Chain chain = ChainOf(root, nullptr, TreePath());
+  const InheritanceChain chain = MakeChain(root, nullptr, TreePath());
   FleetPolicy fleet;
-  const std::string_view shares = TextOf(chain, "tier_shares");
+  const std::string_view shares = TextValue(chain, "tier_shares");
   size_t tier = 0;
   for (const absl::string_view part :
        absl::StrSplit(absl::string_view(shares.data(), shares.size()), ',')) {
@@ -168,18 +170,18 @@
     if (tier < kTierCount && absl::SimpleAtod(part, &share)) fleet.tier_shares[tier] = share;
     ++tier;
   }
-  fleet.headroom_limit = FractionOf(chain, "headroom_limit");
-  fleet.queue_limit = IntegerOf(chain, "queue_limit");
-  fleet.claim_retention = DurationOf(chain, "claim_retention");
+  fleet.headroom_limit = FractionValue(chain, "headroom_limit");
+  fleet.queue_limit = IntegerValue(chain, "queue_limit");
+  fleet.claim_retention = DurationValue(chain, "claim_retention");
   return fleet;
 }
 
 std::vector<SettingOrigin> ExplainPath(const Branch& root, const Branch* tenant,
                                        const TreePath& path) {
-  const Chain chain = ChainOf(root, tenant, path);
+  const InheritanceChain chain = MakeChain(root, tenant, path);
   std::vector<SettingOrigin> origins;
   for (const SettingSpec& spec : SettingSchema()) {
-    const Found found = Lookup(chain, spec);
+    const LookupResult found = Lookup(chain, spec);
     origins.push_back({std::string(spec.name), std::string(found.value), std::string(found.level)});
   }
   return origins;
@@ -196,7 +198,7 @@
       ValidateSettings({branch.tenant, service_name, class_name}, settings, &faults);
     }
   }
-  // Cross-level rules make sense only for values that are valid by themselves.
+  // Rules between settings are only meaningful if each value is valid by itself.
   if (!faults.empty()) return faults;
   for (const auto& [service_name, service] : branch.services) {
     for (const auto& [class_name, settings] : service.classes) {
--- a/libs/config/src/schema.cc
+++ b/libs/config/src/schema.cc
@@ -11,9 +11,9 @@
 namespace cartsail {
 namespace {
 
-constexpr double kLongest = 24 * 3600;
-constexpr double kSmallestTierShare = 0.002;
-constexpr double kLargestShareSum = 0.5;
+constexpr double kSecondsPerDay = 24 * 3600;
+constexpr double kMinTierShare = 0.002;
+constexpr double kMaxShareSum = 0.5;
 
 constexpr std::array kSchema = {
     SettingSpec{"tier", SettingType::kInteger, "3", 0, kTierCount - 1, kAnyLevel,
@@ -24,7 +24,7 @@
                 "Target for the mean time between tokens"},
     SettingSpec{"max_wait", SettingType::kDuration, "10s", 0.01, 3600, kAnyLevel,
                 "Longest wait for a start; then the request is given up"},
-    SettingSpec{"deadline", SettingType::kDuration, "5m", 0.1, kLongest, kAnyLevel,
+    SettingSpec{"deadline", SettingType::kDuration, "5m", 0.1, kSecondsPerDay, kAnyLevel,
                 "Longest time for the whole answer"},
     SettingSpec{"repeatable", SettingType::kBoolean, "true", 0, 1, kAnyLevel,
                 "Whether a request may be run again; false needs an Idempotency-Key"},
@@ -41,14 +41,13 @@
     SettingSpec{"backend", SettingType::kText, "", 0, 63, kServiceLevel,
                 "Group of plain back ends that serve this service; empty for model traffic"},
     SettingSpec{"tier_shares", SettingType::kFractions, "0.02,0.02,0.02,0.02,0.02,0.02",
-                kSmallestTierShare, kLargestShareSum, kRootLevel,
-                "Guaranteed share of starts of each tier"},
+                kMinTierShare, kMaxShareSum, kRootLevel, "Guaranteed share of starts of each tier"},
     SettingSpec{"headroom_limit", SettingType::kFraction, "0", 0, 0.9, kRootLevel,
                 "Largest share of an engine's window kept free for higher tiers"},
     SettingSpec{"queue_limit", SettingType::kInteger, "256", 1, 100000, kRootLevel,
                 "Requests that may wait for one engine"},
-    SettingSpec{"claim_retention", SettingType::kDuration, "24h", 60, 7 * kLongest, kRootLevel,
-                "How long an idempotency key is remembered"},
+    SettingSpec{"claim_retention", SettingType::kDuration, "24h", 60, 7 * kSecondsPerDay,
+                kRootLevel, "How long an idempotency key is remembered"},
 };
 
 std::string_view TypeName(SettingType type) {
@@ -69,7 +68,7 @@
   return "";
 }
 
-absl::Status WrongType(const SettingSpec& spec, std::string_view text) {
+absl::Status WrongTypeError(const SettingSpec& spec, std::string_view text) {
   return MakeError(ErrorKind::kInvalidSetting,
                    fmt::format("{}={}: must be {}", spec.name, text, TypeName(spec.type)));
 }
@@ -82,15 +81,15 @@
                                spec.maximum, unit));
 }
 
-absl::string_view Abseil(std::string_view text) { return {text.data(), text.size()}; }
+absl::string_view ToAbseil(std::string_view text) { return {text.data(), text.size()}; }
 
 absl::Status CheckFractions(const SettingSpec& spec, std::string_view text) {
-  const std::vector<absl::string_view> parts = absl::StrSplit(Abseil(text), ',');
-  if (parts.size() != kTierCount) return WrongType(spec, text);
+  const std::vector<absl::string_view> parts = absl::StrSplit(ToAbseil(text), ',');
+  if (parts.size() != kTierCount) return WrongTypeError(spec, text);
   double sum = 0;
   for (const absl::string_view part : parts) {
     double value = 0;
-    if (!absl::SimpleAtod(part, &value)) return WrongType(spec, text);
+    if (!absl::SimpleAtod(part, &value)) return WrongTypeError(spec, text);
     if (!(value >= spec.minimum)) {
       return MakeError(ErrorKind::kInvalidSetting,
                        fmt::format("{}={}: every tier needs a share of at least {}", spec.name,
@@ -128,30 +127,30 @@
 
 absl::Status CheckSettingValue(const SettingSpec& spec, std::string_view text) {
   double number = 0;
-  if (text.find_first_of(" \t\r\n") != std::string_view::npos) return WrongType(spec, text);
+  if (text.find_first_of(" \t\r\n") != std::string_view::npos) return WrongTypeError(spec, text);
   switch (spec.type) {
     case SettingType::kInteger: {
       int64_t integer = 0;
-      if (!absl::SimpleAtoi(Abseil(text), &integer)) return WrongType(spec, text);
+      if (!absl::SimpleAtoi(ToAbseil(text), &integer)) return WrongTypeError(spec, text);
       return CheckRange(spec, text, static_cast<double>(integer));
     }
     case SettingType::kBoolean:
-      return text == "true" || text == "false" ? absl::OkStatus() : WrongType(spec, text);
+      return text == "true" || text == "false" ? absl::OkStatus() : WrongTypeError(spec, text);
     case SettingType::kDuration:
-      if (!ParseDurationSeconds(text, &number)) return WrongType(spec, text);
+      if (!ParseDurationSeconds(text, &number)) return WrongTypeError(spec, text);
       return CheckRange(spec, text, number);
     case SettingType::kFraction:
-      if (!absl::SimpleAtod(Abseil(text), &number)) return WrongType(spec, text);
+      if (!absl::SimpleAtod(ToAbseil(text), &number)) return WrongTypeError(spec, text);
       return CheckRange(spec, text, number);
     case SettingType::kText:
       if (!IsName(text) || static_cast<double>(text.size()) > spec.maximum) {
-        return WrongType(spec, text);
+        return WrongTypeError(spec, text);
       }
       return absl::OkStatus();
     case SettingType::kFractions:
       return CheckFractions(spec, text);
   }
-  return WrongType(spec, text);
+  return WrongTypeError(spec, text);
 }
 
 bool ParseDurationSeconds(std::string_view text, double* seconds) {
@@ -159,17 +158,17 @@
     std::string_view suffix;
     double factor;
   };
-  // Longer suffixes first: "ms" also ends in "s".
+  // Longer suffixes come first, because "ms" also ends in "s".
   static constexpr Unit kUnits[] = {{"us", 1e-6}, {"ms", 1e-3}, {"s", 1}, {"m", 60}, {"h", 3600}};
   for (const Unit& unit : kUnits) {
     if (!text.ends_with(unit.suffix)) continue;
     const std::string_view number = text.substr(0, text.size() - unit.suffix.size());
     double value = 0;
-    // Stricter than the library's parser, which also takes spaces, "inf" and hexadecimal.
+    // Stricter than absl::SimpleAtod(), which also accepts spaces, "inf" and hexadecimal numbers.
     if (number.empty() || number.find_first_not_of("0123456789.") != std::string_view::npos) {
       return false;
     }
-    if (!absl::SimpleAtod(Abseil(number), &value)) return false;
+    if (!absl::SimpleAtod(ToAbseil(number), &value)) return false;
     *seconds = value * unit.factor;
     return true;
   }
--- a/libs/config/src/snapshot.cc
+++ b/libs/config/src/snapshot.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::string_view kRootBranch = "root";
-constexpr std::string_view kTenantFolder = "tenant/";
+constexpr std::string_view kTenantPrefix = "tenant/";
 
 }  // namespace
 
@@ -32,12 +32,12 @@
   if (delta.revision <= revision_) {
     return MakeError(
         ErrorKind::kStaleRevision,
-        fmt::format("revision {} is in force, {} was offered", revision_, delta.revision));
+        fmt::format("revision {} is in force, received revision {}", revision_, delta.revision));
   }
   if (delta.since > revision_) {
-    return MakeError(
-        ErrorKind::kStaleRevision,
-        fmt::format("changes from {} on leave a gap after {}", delta.since, revision_));
+    return MakeError(ErrorKind::kStaleRevision,
+                     fmt::format("changes since revision {} leave a gap after revision {}",
+                                 delta.since, revision_));
   }
   auto next = std::make_shared<ConfigSnapshot>(*this);
   std::array<std::shared_ptr<Shard>, kShardCount> copies{};
@@ -69,9 +69,9 @@
     fleet_ = ResolveFleet(root_);
     return absl::OkStatus();
   }
-  const StoredBranch* before = FindTenant(document.tenant);
-  if (before != nullptr) {
-    const absl::StatusOr<Branch> old = ParseBranch(document.tenant, before->text);
+  const StoredBranch* previous = FindTenant(document.tenant);
+  if (previous != nullptr) {
+    const absl::StatusOr<Branch> old = ParseBranch(document.tenant, previous->text);
     for (const KeyEntry& key : old.ok() ? old->keys : std::vector<KeyEntry>()) {
       MutableShard(ShardOf(key.sha256), copies).keys.erase(KeyPrefix(key.sha256));
     }
@@ -150,7 +150,7 @@
 
 std::string BranchKey(std::string_view tenant) {
   if (tenant.empty()) return fmt::format("{}{}", kBranchPrefix, kRootBranch);
-  return fmt::format("{}{}{}", kBranchPrefix, kTenantFolder, tenant);
+  return fmt::format("{}{}{}", kBranchPrefix, kTenantPrefix, tenant);
 }
 
 bool TenantOfBranchKey(std::string_view key, std::string* tenant) {
@@ -160,8 +160,8 @@
     tenant->clear();
     return true;
   }
-  if (!key.starts_with(kTenantFolder)) return false;
-  key.remove_prefix(kTenantFolder.size());
+  if (!key.starts_with(kTenantPrefix)) return false;
+  key.remove_prefix(kTenantPrefix.size());
   tenant->assign(key);
   return !tenant->empty();
 }
--- a/libs/config/src/tree.cc
+++ b/libs/config/src/tree.cc
@@ -9,11 +9,11 @@
 namespace cartsail {
 namespace {
 
-constexpr size_t kLongestName = 63;
+constexpr size_t kMaxNameLength = 63;
 constexpr std::string_view kRootName = "root";
 
 bool IsName(std::string_view name) {
-  if (name.empty() || name.size() > kLongestName || name == kRootName) return false;
+  if (name.empty() || name.size() > kMaxNameLength || name == kRootName) return false;
   for (const char c : name) {
     const bool allowed =
         (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '.' || c == '_' || c == '-';
@@ -22,7 +22,7 @@
   return true;
 }
 
-absl::Status Invalid(std::string_view tenant, std::string_view reason) {
+absl::Status InvalidBranch(std::string_view tenant, std::string_view reason) {
   return MakeError(ErrorKind::kInvalidSetting,
                    fmt::format("branch {}: {}", tenant.empty() ? kRootName : tenant, reason));
 }
@@ -102,8 +102,8 @@
   for (const std::string& part : parts) {
     if (IsName(part)) continue;
     return MakeError(ErrorKind::kInvalidSetting,
-                     fmt::format("{}: '{}' is no name of [a-z0-9._-], 1 to {} characters", text,
-                                 part, kLongestName));
+                     fmt::format("{}: '{}' is not a name of 1 to {} characters of [a-z0-9._-]",
+                                 text, part, kMaxNameLength));
   }
   path.tenant = parts[0];
   if (parts.size() > 1) path.service = parts[1];
@@ -113,17 +113,18 @@
 
 absl::StatusOr<Branch> ParseBranch(std::string_view tenant, std::string_view text) {
   absl::StatusOr<json::object> object = ParseJsonObject(text);
-  if (!object.ok()) return Invalid(tenant, object.status().message().data());
+  if (!object.ok()) return InvalidBranch(tenant, object.status().message().data());
   Branch branch;
   branch.tenant = tenant;
   branch.revision = GetInt(*object, "revision");
   branch.deleted = GetBool(*object, "deleted");
   if (const json::object* settings = GetObject(*object, "settings")) {
-    if (!ReadSettings(*settings, &branch.settings)) return Invalid(tenant, "settings are text");
+    if (!ReadSettings(*settings, &branch.settings))
+      return InvalidBranch(tenant, "each setting must be a string");
   }
   if (const json::array* keys = GetArray(*object, "keys")) {
     for (const json::value& entry : *keys) {
-      if (!entry.is_object()) return Invalid(tenant, "a key is an object");
+      if (!entry.is_object()) return InvalidBranch(tenant, "each key must be an object");
       branch.keys.push_back(
           {GetString(entry.as_object(), "id"), GetString(entry.as_object(), "sha256")});
     }
@@ -132,7 +133,7 @@
     for (const auto& member : *services) {
       ServiceNode service;
       if (!member.value().is_object() || !ReadService(member.value().as_object(), &service)) {
-        return Invalid(tenant, "a service is an object with settings and classes");
+        return InvalidBranch(tenant, "each service must be an object with settings and classes");
       }
       branch.services.emplace(std::string(member.key()), std::move(service));
     }
--- a/libs/config/tests/config_test.cc
+++ b/libs/config/tests/config_test.cc
@@ -76,7 +76,7 @@
   cr_assert(policy.ok() && !policy->repeatable && !policy->preemptible);
 }
 
-// Every kind of bad setting is refused, and all faults are listed at once.
+// Every kind of invalid setting is rejected, and all faults of a branch are listed together.
 Test(validation, bad_settings) {
   struct Case {
     const char* setting;
@@ -167,7 +167,7 @@
     const auto older = (*first)->Apply(DeltaOf(0, revision, branch));
     cr_assert(KindOf(older.status()) == ErrorKind::kStaleRevision);
   }
-  // A delta that starts after this revision leaves a gap.
+  // A delta whose `since` is greater than the revision leaves a gap.
   cr_assert(KindOf((*first)->Apply(DeltaOf(4, 5, branch)).status()) == ErrorKind::kStaleRevision);
   cr_assert((*first)->Apply(DeltaOf(3, 4, branch)).ok());
 }
