--- a/libs/duties/include/cartsail/duties/capacity_planner.h
+++ b/libs/duties/include/cartsail/duties/capacity_planner.h
@@ -1,5 +1,6 @@
-// Decides how many engines of a service to order in each zone, and of which kind: at the full
-// price, or reclaimable ones, which are cheaper and may be taken away, all of a zone at once. Pure.
+// Decides how many engines of a service to order in each zone, and of which kind: full-price ones,
+// or reclaimable ones, which are cheaper and which the platform may take back, all of a zone at
+// once. Does no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -16,30 +17,30 @@
 
 enum class EngineKind { kFullPrice, kReclaimable };
 
-// The engines of one zone that run and are not leaving, also where the zone is drained.
+// Running engines of one zone, without those that are leaving. Reported for drained zones too.
 struct ZoneEngines {
   int64_t full_price = 0;
   int64_t reclaimable = 0;
-  // Of these: still slow after their start.
+  // Of these: not yet warmed up after their start.
   int64_t cold_full_price = 0;
   int64_t cold_reclaimable = 0;
-  int64_t requests = 0;  // that run or wait there
+  int64_t requests = 0;  // running or waiting in the zone
 };
 
-// What a plan is made from.
+// Input of a plan.
 struct CapacityView {
   EngineScaling scaling;
   std::map<std::string, ZoneEngines> engines;  // by zone
-  // Their engines get no new request: they bear nothing.
+  // Engines of these zones receive no new requests and so provide no capacity.
   std::set<std::string> drained_zones;
-  Duration warm_up{};  // from an engine's start until it bears what the others bear
-  // Requests that run or wait at engines, and requests that one engine runs at once. Those in
-  // drained zones count: those that follow them come to the other zones.
+  Duration warm_up{};  // from an engine's start until it has its full capacity
+  // Requests running or waiting at engines. Those in drained zones count, because their successors
+  // go to the other zones.
   int64_t requests = 0;
-  int64_t slots = 1;
+  int64_t slots = 1;  // requests that one engine runs concurrently
 };
 
-// `engines`: so many of this kind in all, those there are included.
+// Sets the total number of engines of one kind in a zone; existing ones are included.
 struct EngineOrder {
   std::string zone;
   EngineKind kind = EngineKind::kFullPrice;
@@ -48,29 +49,35 @@
   bool operator==(const EngineOrder&) const = default;
 };
 
-enum class OrderOutcome { kAccepted, kNoCapacity, kUnknown };
+enum class OrderOutcome {
+  kAccepted,
+  kNoCapacity,  // the platform has no engines of this kind available
+  kUnknown      // no answer: the order may or may not be carried out
+};
 
-// One for each service.
+// Plans the engines of one service.
 class CapacityPlanner {
  public:
-  // `first_start`: of the whole system. Nothing runs at the engines yet, so that those at the full
-  // price may be given up before this planner has watched the load.
+  // `first_start`: the whole system starts for the first time. No requests run at the engines yet,
+  // so full-price ones may be given up without waiting for the settling time.
   CapacityPlanner(CapacityPolicy policy, bool first_start)
       : policy_(policy), first_start_(first_start) {}
 
-  // The orders to give now.
+  // Returns the orders to send now. Empty if nothing is to be changed, or if the scaling settings
+  // name no zones or contradict each other.
   std::vector<EngineOrder> Plan(const CapacityView& view, TimePoint now);
 
   void OnOrdered(const EngineOrder& order, OrderOutcome outcome, TimePoint now);
 
-  // Engines that the load needs now, the reserve included; for logs.
+  // Engines wanted in all open zones together, including the reserve. For logs.
   int64_t Wanted() const { return wanted_; }
 
  private:
-  struct Line {                      // orders of one kind in one zone
-    std::optional<int64_t> ordered;  // nothing before the first order
+  // The last order of one kind in one zone.
+  struct OrderState {
+    std::optional<int64_t> ordered;  // engines; empty before the first order
     TimePoint ordered_at{};
-    bool is_dry = false;  // the platform had none to give
+    bool has_no_capacity = false;  // the platform had no capacity
   };
 
   struct ZonePlan {
@@ -78,23 +85,23 @@
     int64_t reclaimable = 0;
   };
 
-  double FirstNeed(const EngineScaling& scaling) const;
+  double InitialDemand(const EngineScaling& scaling) const;
   bool HasReclaimable(const EngineScaling& scaling) const {
     return policy_.uses_reclaimable && scaling.reclaimable_price > 0;
   }
-  int64_t EnginesWanted(const CapacityView& view, TimePoint now);
-  void NoteDrains(const CapacityView& view, TimePoint now);
+  int64_t WantedEngines(const CapacityView& view, TimePoint now);
+  void TrackDrains(const CapacityView& view, TimePoint now);
   void SetWanted(int64_t wanted, TimePoint now);
-  double Bearing(int64_t engines, int64_t cold) const;
-  double BearingOf(const CapacityView& view) const;
+  double WarmEquivalent(int64_t engines, int64_t cold) const;
+  double ServingCapacity(const CapacityView& view) const;
   bool IsSettled(TimePoint now) const {
     return (first_start_ && !has_seen_load_) || now - *first_plan_ >= policy_.settling_time;
   }
-  int64_t FullPriceWanted(const std::string& zone, const ZonePlan& part, const ZoneEngines& present,
+  int64_t WantedFullPrice(const std::string& zone, const ZonePlan& part, const ZoneEngines& present,
                           const CapacityView& view, TimePoint now);
-  int64_t ReclaimableWanted(const std::string& zone, int64_t planned, int64_t present,
+  int64_t WantedReclaimable(const std::string& zone, int64_t planned, int64_t present,
                             double* surplus);
-  std::map<std::string, ZonePlan> Divide(const CapacityView& view);
+  std::map<std::string, ZonePlan> DistributeOverZones(const CapacityView& view);
   void AddFullPrice(const CapacityView& view, std::map<std::string, ZonePlan>* plan) const;
   void AddOrdersForOpenZones(const CapacityView& view, TimePoint now,
                              std::vector<EngineOrder>* orders);
@@ -103,17 +110,18 @@
   bool MayGiveUp(const std::string& zone, const CapacityView& view, TimePoint now);
   void AddOrder(const std::string& zone, EngineKind kind, int64_t wanted, int64_t present,
                 const EngineScaling& scaling, TimePoint now, std::vector<EngineOrder>* orders);
-  Line& LineOf(const std::string& zone, EngineKind kind);
-  bool IsDry(const std::string& zone);
+  OrderState& OrderStateFor(const std::string& zone, EngineKind kind);
+  bool HasNoCapacity(const std::string& zone);
 
   CapacityPolicy policy_;
   bool first_start_;
-  std::map<std::string, Line> full_price_;   // by zone
-  std::map<std::string, Line> reclaimable_;  // by zone
+  std::map<std::string, OrderState> full_price_;   // by zone
+  std::map<std::string, OrderState> reclaimable_;  // by zone
   std::map<std::string, TimePoint> drained_since_;
-  double needed_ = 0;   // engines, as seen, falling slowly
-  double assumed_ = 0;  // the same before the load is known
-  TimePoint needed_at_{};
+  // Engines that the load needs, without the reserve. Rises immediately and decays slowly.
+  double demand_ = 0;
+  double initial_demand_ = 0;  // initial estimate; decays once load has been seen
+  TimePoint demand_updated_at_{};
   TimePoint shrunk_at_{};
   std::optional<TimePoint> first_plan_;
   bool has_seen_load_ = false;
--- a/libs/duties/include/cartsail/duties/capacity_policy.h
+++ b/libs/duties/include/cartsail/duties/capacity_policy.h
@@ -1,4 +1,4 @@
-// How many engines a service is to have, as one plain struct of settings. Pure.
+// Settings of the capacity planner: how many engines a service is to have.
 #pragma once
 
 #include <cstdint>
@@ -8,47 +8,50 @@
 namespace cartsail {
 
 struct CapacityPolicy {
-  // False: orders are only logged, none is sent.
+  // False: orders are logged but not sent to the platform.
   bool sends_orders = true;
-  // Engines that may be taken away are ordered. False: all are ordered at the full price.
+  // Whether reclaimable engines are ordered. False: all engines are ordered at the full price.
   bool uses_reclaimable = true;
-  // Engines held for each one that the present load needs. Bursts of three times the load come
-  // within a second, and an engine takes seconds to start.
+  // Engines ordered per engine that the current load needs. Bursts reach three times the load
+  // within a second, while an engine takes seconds to start.
   double reserve = 3;
-  // The same where reclaimable engines are not to be had and the full price is to be paid.
-  // At 0.5 such engines are ordered when what is left would run with most slots taken.
+  // The same ratio where no reclaimable engines are available and the full price is paid. At 0.5,
+  // full-price engines are ordered once the remaining engines would run with most slots in use.
   double full_price_reserve = 0.5;
-  // What is held before the load is known, and fades once it is: as many engines as cost this share
-  // of what the most that may be ordered would cost at the full price. Of reclaimable ones at a
-  // fifth of the price that is all that may be ordered.
+  // Capacity ordered before the load is known, which decays once it is: as many engines as cost
+  // this share of what the largest allowed number of engines would cost at the full price. If
+  // reclaimable engines cost a fifth of the full price, 0.25 pays for all that may be ordered.
   double first_cost_share = 0.25;
-  // Engines at the full price in each zone: they stay when all others are taken away at once.
+  // Full-price engines kept in each zone: they remain when all reclaimable ones are taken away at
+  // once.
   int64_t full_price_base = 1;
-  // Share of an engine's slots that the load is to take on average. Above it, streams beside
-  // prompts that are read miss their pauses.
+  // Average share of an engine's slots that the load is to occupy. Above it, streams that run
+  // beside prompt processing exceed their limits for pauses.
   double target_utilization = 0.4;
-  // Needs fall no faster than by half in this time: bursts come again.
+  // Half-life of the estimated demand when the load falls: bursts recur.
   Duration demand_half_life = seconds(60);
-  // A new holder knows the load and the engines after this time: digests of nodes come within two
-  // seconds, and engines that start together are listed within three. Before, no engine at the full
-  // price is given up, and nothing is ordered without a load.
+  // Time after which a new duty holder knows the load and the engines: node digests arrive within
+  // two seconds, and engines that start together are listed within three. Until then, full-price
+  // engines stay as far as serving reclaimable ones do not cover the planned number, reserve
+  // included, and nothing is ordered before any load was seen.
   Duration settling_time = seconds(3);
-  // Where both kinds together reach the most there may be, engines at the full price are replaced
-  // in parts: this share of the most at a time.
+  // Where both kinds together exceed a zone's maximum, full-price engines are replaced in steps of
+  // this share of the maximum.
   double replacement_step_share = 0.25;
-  // More engines are ordered at once, fewer at most so often.
+  // Least time between two reductions of the number of engines. Increases take effect immediately.
   Duration shrink_interval = seconds(5);
-  // Engines that were ordered and are not there are ordered again after their start and this time.
+  // An order whose engines are missing is repeated after their boot time plus this margin.
   Duration reorder_margin = seconds(3);
-  // What a cold engine bears, as a share of a warm one. Services tell the rate of a cold engine and
-  // not that of a warm one; at a quarter nothing else is given up for engines that cannot replace
-  // it.
+  // Capacity of a cold engine as a share of a warm one. Services declare the rate of a cold engine
+  // but not that of a warm one; at a quarter, no engine is given up in favour of cold ones that
+  // cannot replace it.
   double cold_engine_weight = 0.25;
-  // Idle engines of a drained zone are paid for until the drain has lasted this many times as long
-  // as others take to start and warm up: they hold prompts, and most drains are shorter. Paying for
-  // as long as a replacement would cost anyway at most doubles what the best guess would pay.
+  // Idle engines of a drained zone are kept until the drain has lasted this many times as long as
+  // an engine takes to boot and warm up: they hold cached prompts, and most drains are shorter.
+  // Paying for as long as a replacement would cost anyway at most doubles the cost of the best
+  // decision made with hindsight.
   double drain_hold_factor = 2;
-  // After the platform had none to give.
+  // Time between two orders for a zone in which the platform has no engines available.
   Duration no_capacity_backoff = seconds(2);
 };
 
--- a/libs/duties/include/cartsail/duties/fleet_clock.h
+++ b/libs/duties/include/cartsail/duties/fleet_clock.h
@@ -1,5 +1,5 @@
-// The time of day as the fleet has it: the median of what this node's clock and its peers' clocks
-// show, so that clocks that are off, or jump, on less than half of the nodes have no effect. Pure.
+// The fleet's time of day: the median of the clocks of this node and its peers. Clocks that are
+// wrong or jump on less than half of the nodes have no effect. Reads no clock itself.
 #pragma once
 
 #include <chrono>
@@ -11,27 +11,28 @@
 
 namespace cartsail {
 
-// Since the start of 1970.
+// Time since the Unix epoch.
 using WallTime = std::chrono::milliseconds;
 
 class FleetClock {
  public:
-  // A peer's clock showed `wall` in a message that came at `now`.
+  // Records that a peer's clock showed `wall` in a message received at `now`. Ignored if `wall` is
+  // not positive.
   void AddPeerReading(const std::string& host, WallTime wall, TimePoint now);
 
-  // This node's own clock shows `wall`.
+  // Records that this node's own clock shows `wall` at `now`.
   void AddOwnReading(WallTime wall, TimePoint now);
 
-  // The median, `now`; 0 before any clock was noted.
+  // The median time of day at `now`; 0 before the first reading.
   WallTime At(TimePoint now) const;
 
  private:
   struct Reading {
-    std::chrono::milliseconds offset;  // wall clock less monotonic clock
-    TimePoint noted;
+    std::chrono::milliseconds offset;  // wall clock minus monotonic clock
+    TimePoint updated;
   };
 
-  std::map<std::string, Reading> readings_;  // by host; this node's own has none
+  std::map<std::string, Reading> readings_;  // by host; this node's own has an empty name
 };
 
 }  // namespace cartsail
--- a/libs/duties/include/cartsail/duties/usage_collector.h
+++ b/libs/duties/include/cartsail/duties/usage_collector.h
@@ -1,5 +1,5 @@
-// The sum of what all nodes have counted, as one node has been told it. Nodes tell their counts so
-// far again and again, in several messages where they are many; none of that counts twice. Pure.
+// Sums the usage counts that all nodes report to one node. Nodes repeat their cumulative counts,
+// split over several messages where there are many tenants; repeated counts are not added twice.
 #pragma once
 
 #include <cstdint>
@@ -13,18 +13,18 @@
 
 namespace cartsail {
 
-// Some tenants' counts of one window at one node, in one message.
+// Counts of some tenants in one window at one node, as sent in one message.
 struct UsageShare {
   WindowNumber window = 0;
-  bool closed = false;   // the window is over there: the counts are final
-  int64_t requests = 0;  // of all tenants of the window, in whatever messages
-  TenantCounts counts;   // of some tenants, so far
+  bool closed = false;   // the window has ended at the sender: its counts are final
+  int64_t requests = 0;  // of all tenants in the window, over all messages
+  TenantCounts counts;   // of some tenants; cumulative
 };
 
 // One process of a node.
 struct UsageSource {
   std::string host;
-  uint32_t process = 0;  // differs from one process of the host to the next
+  uint32_t process = 0;  // differs between successive processes of the host
 
   bool operator<(const UsageSource& other) const {
     return std::tie(host, process) < std::tie(other.host, other.process);
@@ -33,31 +33,35 @@
 
 class UsageCollector {
  public:
+  // Merges a report, which may be repeated or out of order: of each count the greatest is kept.
   void Merge(const UsageSource& source, const UsageShare& share);
 
-  // True when all that the source counted in the window is known.
+  // True if the source has closed the window and all its counts have been received.
   bool HasCompleteCounts(const UsageSource& source, WindowNumber window) const;
 
-  // Hosts that have told anything of the window, and those all of whose counts are known.
+  // Hosts that have reported anything for the window.
   std::set<std::string> ReportingHosts(WindowNumber window) const;
+  // Hosts with a process whose counts of the window are complete.
   std::set<std::string> CompleteHosts(WindowNumber window) const;
 
+  // Sum over all sources; empty for a window without reports.
   TenantCounts Total(WindowNumber window) const;
 
+  // Drops the windows before `first`.
   void ForgetBefore(WindowNumber first) {
     windows_.erase(windows_.begin(), windows_.lower_bound(first));
   }
 
  private:
-  struct Told {
+  struct SourceCounts {
     bool closed = false;
     int64_t requests = 0;
     TenantCounts counts;
 
-    bool IsWhole() const;
+    bool IsComplete() const;
   };
 
-  std::map<WindowNumber, std::map<UsageSource, Told>> windows_;
+  std::map<WindowNumber, std::map<UsageSource, SourceCounts>> windows_;
 };
 
 }  // namespace cartsail
--- a/libs/duties/include/cartsail/duties/usage_ledger.h
+++ b/libs/duties/include/cartsail/duties/usage_ledger.h
@@ -1,5 +1,5 @@
-// What one node has counted in the latest windows. Counts of a window only grow, and stop growing
-// once it is over. Pure.
+// Usage counts of one node for recent windows. The counts of a window only grow, and stop growing
+// once it has ended.
 #pragma once
 
 #include <map>
@@ -11,15 +11,15 @@
 
 class UsageLedger {
  public:
-  // An engine began to run a request of `tenant`.
+  // Counts a request of `tenant` that an engine began to run in `window`.
   void Note(const std::string& tenant, WindowNumber window) { ++windows_[window][tenant]; }
 
-  // Forgets windows before `first`.
+  // Drops the windows before `first`.
   void ForgetBefore(WindowNumber first) {
     windows_.erase(windows_.begin(), windows_.lower_bound(first));
   }
 
-  // Empty for a window in which nothing was counted.
+  // Counts of a window; empty if nothing was counted in it.
   TenantCounts Of(WindowNumber window) const {
     const auto counts = windows_.find(window);
     return counts == windows_.end() ? TenantCounts() : counts->second;
--- a/libs/duties/include/cartsail/duties/usage_record.h
+++ b/libs/duties/include/cartsail/duties/usage_record.h
@@ -1,5 +1,6 @@
-// What the holder of the usage duty keeps in the store: one record a window. Builds of different
-// versions read each other's records. Pure.
+// Encoding of the usage records that the holder of the usage duty keeps in the store, one per
+// window. Different versions of the program read each other's records, so the format must stay
+// compatible.
 #pragma once
 
 #include <string>
@@ -11,15 +12,17 @@
 
 inline constexpr std::string_view kUsageRecordPrefix = "cartsail/usage/";
 
+// Store key of a window's record.
 std::string UsageRecordKey(WindowNumber window);
 
-// The window in a key that begins with the prefix; 0 when there is no number.
+// The window of a record's key, which must begin with kUsageRecordPrefix; 0 if no number follows.
 WindowNumber UsageRecordWindow(std::string_view key);
 
-// "tenant=count" lines.
+// Encodes one "tenant=count" line per tenant.
 std::string EncodeUsageRecord(const TenantCounts& counts);
 
-// Lines that are none are left out.
+// Decodes "tenant=count" lines; lines without "=" are skipped. A malformed count is read as
+// 0.
 TenantCounts DecodeUsageRecord(std::string_view text);
 
 }  // namespace cartsail
--- a/libs/duties/include/cartsail/duties/usage_window.h
+++ b/libs/duties/include/cartsail/duties/usage_window.h
@@ -1,5 +1,5 @@
-// Usage: how many requests of each tenant engines began to run in a window of time. Windows have
-// equal lengths and are numbered from the start of 1970.
+// Usage is the number of requests of each tenant that engines began to run in a time window.
+// Windows have equal lengths and are numbered from the Unix epoch.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +12,22 @@
 
 using WindowNumber = int64_t;
 
-// Requests by tenant.
+// Number of requests by tenant.
 using TenantCounts = std::map<std::string, int64_t>;
 
-// What is due when.
+// Length of the windows and deadline of their reports.
 struct UsageSchedule {
-  std::chrono::milliseconds window{5000};  // length; 0: no usage is due
-  std::chrono::milliseconds due{10000};    // a report is due so long after its window's end
+  std::chrono::milliseconds window{5000};  // length; 0: usage is not reported
+  std::chrono::milliseconds due{10000};    // deadline of a report, from its window's end
 };
 
-inline WindowNumber WindowAt(WallTime wall, const UsageSchedule& terms) {
-  return wall.count() / terms.window.count();
+// The window that contains `wall`. The length must not be 0.
+inline WindowNumber WindowAt(WallTime wall, const UsageSchedule& schedule) {
+  return wall.count() / schedule.window.count();
 }
 
-inline WallTime EndOf(WindowNumber window, const UsageSchedule& terms) {
-  return WallTime((window + 1) * terms.window.count());
+inline WallTime EndOf(WindowNumber window, const UsageSchedule& schedule) {
+  return WallTime((window + 1) * schedule.window.count());
 }
 
 }  // namespace cartsail
--- a/libs/duties/include/cartsail/duties/window_report.h
+++ b/libs/duties/include/cartsail/duties/window_report.h
@@ -1,7 +1,7 @@
-// How one window's usage gets from its holder to the platform, so that no two reports of a window
-// ever differ: counts are recorded in the store under a condition before they are sent, and every
-// holder sends what is recorded. Each step may be repeated, its answer may be lost, and it may be
-// carried out later. Pure.
+// State machine that reports the usage of one window to the platform such that no two reports of a
+// window ever differ: counts are recorded in the store by a conditional write before they are sent,
+// and every holder sends the recorded counts. Each step may be repeated or carried out late, and
+// its answer may be lost. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +11,24 @@
 
 namespace cartsail {
 
-// What became of a write of the record, on the condition that there is none and that the duty's
-// record is still this holder's.
+// Result of writing the record, on the condition that there is none yet and that the duty's record
+// is still this holder's. kUnknown: no answer.
 enum class RecordOutcome { kWritten, kConditionFailed, kUnknown };
 
-// What became of a report that was sent.
+// Result of sending a report. kFenced: refused because of its fencing token. kUnknown: no answer.
 enum class SendOutcome { kAccepted, kFenced, kUnknown };
 
 class WindowReport {
  public:
   enum class Step {
     kRecord,  // write Counts() to the store
-    kRead,    // read what is recorded
-    kSend,    // send Counts()
-    kDone,    // accepted
-    kLost,    // the duty is another node's now
+    kRead,    // read the record from the store
+    kSend,    // send Counts() to the platform
+    kDone,    // accepted by the platform
+    kLost,    // another node holds the duty now
   };
 
-  // `counts`: as this holder has summed them up. `recorded`: they come from the store's record.
+  // `counts`: the totals of this holder or, if `recorded`, those of the store's record.
   WindowReport(TenantCounts counts, bool recorded)
       : counts_(std::move(counts)), step_(recorded ? Step::kSend : Step::kRecord) {}
 
@@ -37,8 +37,8 @@
 
   void OnRecorded(RecordOutcome outcome);
 
-  // `recorded`: nothing when there is no record; `holds`: the duty's record is this holder's.
-  void OnRead(std::optional<TenantCounts> recorded, bool holds);
+  // `recorded`: empty if there is no record. `is_holder`: the duty's record is this holder's.
+  void OnRead(std::optional<TenantCounts> recorded, bool is_holder);
 
   void OnSent(SendOutcome outcome);
 
--- a/libs/duties/src/capacity_planner.cc
+++ b/libs/duties/src/capacity_planner.cc
@@ -6,12 +6,12 @@
 namespace cartsail {
 namespace {
 
-ZoneEngines EnginesIn(const CapacityView& view, const std::string& zone) {
+ZoneEngines EnginesInZone(const CapacityView& view, const std::string& zone) {
   const auto found = view.engines.find(zone);
   return found == view.engines.end() ? ZoneEngines() : found->second;
 }
 
-// The zones that may be given engines.
+// Zones that are not drained, which may receive more engines.
 std::vector<ZonePrice> OpenZones(const CapacityView& view) {
   std::vector<ZonePrice> zones = view.scaling.zones;
   std::erase_if(zones,
@@ -21,56 +21,58 @@
 
 }  // namespace
 
-CapacityPlanner::Line& CapacityPlanner::LineOf(const std::string& zone, EngineKind kind) {
+CapacityPlanner::OrderState& CapacityPlanner::OrderStateFor(const std::string& zone,
+                                                            EngineKind kind) {
   return kind == EngineKind::kReclaimable ? reclaimable_[zone] : full_price_[zone];
 }
 
-bool CapacityPlanner::IsDry(const std::string& zone) {
-  return LineOf(zone, EngineKind::kReclaimable).is_dry;
+bool CapacityPlanner::HasNoCapacity(const std::string& zone) {
+  return OrderStateFor(zone, EngineKind::kReclaimable).has_no_capacity;
 }
 
-// With its reserve it takes what may be spent before the load is known.
-double CapacityPlanner::FirstNeed(const EngineScaling& scaling) const {
+// With the reserve, it costs `first_cost_share` of what the maximum costs at the full price.
+double CapacityPlanner::InitialDemand(const EngineScaling& scaling) const {
   const auto most = static_cast<double>(scaling.most) * static_cast<double>(scaling.zones.size());
   const double price = HasReclaimable(scaling) ? scaling.reclaimable_price : 1;
   return most * std::min(policy_.first_cost_share / price, 1.0) / std::max(policy_.reserve, 1.0);
 }
 
-// The greatest need of late, which fades, with its reserve.
-int64_t CapacityPlanner::EnginesWanted(const CapacityView& view, TimePoint now) {
+// The decaying maximum of the demand, times the reserve.
+int64_t CapacityPlanner::WantedEngines(const CapacityView& view, TimePoint now) {
   const auto zones = static_cast<int64_t>(OpenZones(view).size());
   const int64_t least = std::max<int64_t>(view.scaling.least, 0) * zones;
   const int64_t most = view.scaling.most * zones;
   const double slots = static_cast<double>(std::max<int64_t>(view.slots, 1));
   const double needed = static_cast<double>(view.requests) / (slots * policy_.target_utilization);
   has_seen_load_ = has_seen_load_ || view.requests > 0;
-  const double elapsed = has_seen_load_ ? ToSeconds(now - needed_at_) : 0;
-  const double fading = std::exp2(-elapsed / ToSeconds(policy_.demand_half_life));
-  needed_ = std::max(needed, needed_ * fading);
-  assumed_ *= fading;
-  needed_at_ = now;
-  const double wanted = std::ceil(std::max(needed_, assumed_) * policy_.reserve);
+  const double elapsed = has_seen_load_ ? ToSeconds(now - demand_updated_at_) : 0;
+  const double decay = std::exp2(-elapsed / ToSeconds(policy_.demand_half_life));
+  demand_ = std::max(needed, demand_ * decay);
+  initial_demand_ *= decay;
+  demand_updated_at_ = now;
+  const double wanted = std::ceil(std::max(demand_, initial_demand_) * policy_.reserve);
   return std::clamp(static_cast<int64_t>(wanted), least, most);
 }
 
-// The same number in each zone, so that the loss of one zone's engines costs least. What is not to
-// be had in one zone is ordered in the others.
-std::map<std::string, CapacityPlanner::ZonePlan> CapacityPlanner::Divide(const CapacityView& view) {
+// Distributes the engines evenly over the zones, so that losing one zone costs the least capacity.
+// What is unavailable in one zone is ordered in the others.
+std::map<std::string, CapacityPlanner::ZonePlan> CapacityPlanner::DistributeOverZones(
+    const CapacityView& view) {
   const EngineScaling& scaling = view.scaling;
   const bool has_reclaimable = HasReclaimable(scaling);
   std::map<std::string, ZonePlan> plan;
   int64_t left = wanted_;
-  std::vector<std::string> open;  // zones that may be given more
+  std::vector<std::string> open;  // zones with reclaimable capacity
   for (const ZonePrice& zone : OpenZones(view)) {
     ZonePlan& part = plan[zone.zone];
     part.full_price = std::min(policy_.full_price_base, scaling.most);
     left -= part.full_price;
     if (!has_reclaimable) continue;
-    if (!IsDry(zone.zone)) {
+    if (!HasNoCapacity(zone.zone)) {
       open.push_back(zone.zone);
       continue;
     }
-    part.reclaimable = EnginesIn(view, zone.zone).reclaimable;
+    part.reclaimable = EnginesInZone(view, zone.zone).reclaimable;
     left -= part.reclaimable;
   }
   auto zones_left = static_cast<int64_t>(open.size());
@@ -85,11 +87,11 @@
   return plan;
 }
 
-// Where too few reclaimable engines are to be had: the cheapest zones first.
+// Makes up for missing reclaimable engines with full-price ones, in the cheapest zones first.
 void CapacityPlanner::AddFullPrice(const CapacityView& view,
                                    std::map<std::string, ZonePlan>* plan) const {
   int64_t left = HasReclaimable(view.scaling)
-                     ? static_cast<int64_t>(std::ceil(needed_ * policy_.full_price_reserve))
+                     ? static_cast<int64_t>(std::ceil(demand_ * policy_.full_price_reserve))
                      : wanted_;
   for (const auto& [zone, part] : *plan) left -= part.full_price + part.reclaimable;
   std::vector<ZonePrice> by_price = OpenZones(view);
@@ -98,7 +100,7 @@
   for (const ZonePrice& zone : by_price) {
     if (left <= 0) return;
     ZonePlan& part = (*plan)[zone.zone];
-    // One place stays free to ask for a reclaimable one.
+    // One place stays free so that a reclaimable engine can still be ordered.
     const int64_t room = view.scaling.most - part.full_price - part.reclaimable;
     const int64_t more = std::min(left, HasReclaimable(view.scaling) ? room - 1 : room);
     if (more <= 0) continue;
@@ -110,37 +112,39 @@
 void CapacityPlanner::AddOrder(const std::string& zone, EngineKind kind, int64_t wanted,
                                int64_t present, const EngineScaling& scaling, TimePoint now,
                                std::vector<EngineOrder>* orders) {
-  const Line& line = LineOf(zone, kind);
-  if (line.is_dry) {
-    // Asked again now and then, for one more than there are.
-    if (now - line.ordered_at < policy_.no_capacity_backoff) return;
+  const OrderState& state = OrderStateFor(zone, kind);
+  if (state.has_no_capacity) {
+    // Probes the zone periodically by ordering one engine more than it has.
+    if (now - state.ordered_at < policy_.no_capacity_backoff) return;
     orders->push_back({zone, kind, present + 1});
     return;
   }
-  const bool is_late = now - line.ordered_at >= scaling.boot + policy_.reorder_margin;
-  const bool is_same = line.ordered == wanted;
-  // Nothing was ordered yet and what is there is right.
-  if (!line.ordered.has_value() && present == wanted) return;
+  const bool is_late = now - state.ordered_at >= scaling.boot + policy_.reorder_margin;
+  const bool is_same = state.ordered == wanted;
+  // Nothing has been ordered yet and the present number is right.
+  if (!state.ordered.has_value() && present == wanted) return;
   if (is_same && (present == wanted || !is_late)) return;
   orders->push_back({zone, kind, wanted});
 }
 
-// Engines at the full price stay until the cheap ones that replace them serve, as far as the load
-// needs them: they make room for cheap ones, where both together reach the most there may be.
-int64_t CapacityPlanner::FullPriceWanted(const std::string& zone, const ZonePlan& part,
+// Full-price engines stay until the reclaimable ones that replace them serve, as far as the load
+// needs them. Where both kinds together would exceed the zone's maximum, some are given up to make
+// room for reclaimable ones.
+int64_t CapacityPlanner::WantedFullPrice(const std::string& zone, const ZonePlan& part,
                                          const ZoneEngines& present, const CapacityView& view,
                                          TimePoint now) {
   const EngineScaling& scaling = view.scaling;
-  const auto bearing = static_cast<int64_t>(Bearing(present.reclaimable, present.cold_reclaimable));
-  int64_t kept = part.full_price + part.reclaimable - bearing;
+  const auto capacity =
+      static_cast<int64_t>(WarmEquivalent(present.reclaimable, present.cold_reclaimable));
+  int64_t kept = part.full_price + part.reclaimable - capacity;
   if (IsSettled(now)) {
     const auto zones = static_cast<int64_t>(OpenZones(view).size());
-    const auto needed = static_cast<int64_t>(std::ceil(needed_ * policy_.full_price_reserve));
-    kept = std::min(kept, (needed + zones - 1) / zones - bearing);
+    const auto needed = static_cast<int64_t>(std::ceil(demand_ * policy_.full_price_reserve));
+    kept = std::min(kept, (needed + zones - 1) / zones - capacity);
     const int64_t starting =
-        LineOf(zone, EngineKind::kReclaimable).ordered.value_or(0) - present.reclaimable;
+        OrderStateFor(zone, EngineKind::kReclaimable).ordered.value_or(0) - present.reclaimable;
     const bool lacks_room = present.full_price + part.reclaimable > scaling.most;
-    if (lacks_room && starting <= 0 && !IsDry(zone)) {
+    if (lacks_room && starting <= 0 && !HasNoCapacity(zone)) {
       const double step = policy_.replacement_step_share * static_cast<double>(scaling.most);
       kept = std::min(kept, present.full_price - static_cast<int64_t>(std::ceil(step)));
     }
@@ -149,12 +153,12 @@
   return std::max(part.full_price, kept);
 }
 
-// A zone that is drained or restored is asked anew whether it has engines: what it answered before
-// is old, and would keep the zone empty after its return.
-void CapacityPlanner::NoteDrains(const CapacityView& view, TimePoint now) {
+// Forgets at the start of a drain that a zone had no capacity: the answer would be outdated after
+// the drain and would keep the restored zone empty.
+void CapacityPlanner::TrackDrains(const CapacityView& view, TimePoint now) {
   for (const std::string& zone : view.drained_zones) {
     const bool is_new = drained_since_.try_emplace(zone, now).second;
-    if (is_new) LineOf(zone, EngineKind::kReclaimable).is_dry = false;
+    if (is_new) OrderStateFor(zone, EngineKind::kReclaimable).has_no_capacity = false;
   }
   std::erase_if(drained_since_,
                 [&view](const auto& entry) { return !view.drained_zones.contains(entry.first); });
@@ -167,26 +171,26 @@
   wanted_ = wanted;
 }
 
-double CapacityPlanner::Bearing(int64_t engines, int64_t cold) const {
+double CapacityPlanner::WarmEquivalent(int64_t engines, int64_t cold) const {
   const auto warm = static_cast<double>(engines - cold);
   return warm + static_cast<double>(cold) * policy_.cold_engine_weight;
 }
 
-// Warm engines that those in the zones that are not drained are worth.
-double CapacityPlanner::BearingOf(const CapacityView& view) const {
-  double bearing = 0;
+// Capacity of the engines in zones that are not drained, in warm engines.
+double CapacityPlanner::ServingCapacity(const CapacityView& view) const {
+  double capacity = 0;
   for (const ZonePrice& zone : OpenZones(view)) {
-    const ZoneEngines present = EnginesIn(view, zone.zone);
-    bearing += Bearing(present.full_price, present.cold_full_price);
-    bearing += Bearing(present.reclaimable, present.cold_reclaimable);
+    const ZoneEngines present = EnginesInZone(view, zone.zone);
+    capacity += WarmEquivalent(present.full_price, present.cold_full_price);
+    capacity += WarmEquivalent(present.reclaimable, present.cold_reclaimable);
   }
-  return bearing;
+  return capacity;
 }
 
-// Engines are given up only beyond what the load needs of those that bear it now. So those that
-// stood in for a drained zone stay until its own have started and are warm; a new holder, which
-// knows nothing of the drain that has ended, keeps them as well.
-int64_t CapacityPlanner::ReclaimableWanted(const std::string& zone, int64_t planned,
+// Gives up reclaimable engines only from the surplus of present capacity over what is wanted. So
+// engines that replaced those of a drained zone stay until the zone's own have started and warmed
+// up. A new holder, which does not know of the ended drain, keeps them as well.
+int64_t CapacityPlanner::WantedReclaimable(const std::string& zone, int64_t planned,
                                            int64_t present, double* surplus) {
   if (planned >= present) return planned;
   const auto fewer = static_cast<double>(present - planned);
@@ -194,44 +198,44 @@
     *surplus -= fewer;
     return planned;
   }
-  const std::optional<int64_t> ordered = LineOf(zone, EngineKind::kReclaimable).ordered;
+  const std::optional<int64_t> ordered = OrderStateFor(zone, EngineKind::kReclaimable).ordered;
   return std::max(planned, ordered.value_or(present));
 }
 
 void CapacityPlanner::AddOrdersForOpenZones(const CapacityView& view, TimePoint now,
                                             std::vector<EngineOrder>* orders) {
   const EngineScaling& scaling = view.scaling;
-  double surplus = BearingOf(view) - static_cast<double>(wanted_);
-  for (const auto& [zone, part] : Divide(view)) {
-    const ZoneEngines present = EnginesIn(view, zone);
-    const int64_t full_price = FullPriceWanted(zone, part, present, view, now);
+  double surplus = ServingCapacity(view) - static_cast<double>(wanted_);
+  for (const auto& [zone, part] : DistributeOverZones(view)) {
+    const ZoneEngines present = EnginesInZone(view, zone);
+    const int64_t full_price = WantedFullPrice(zone, part, present, view, now);
     const int64_t room = std::max<int64_t>(scaling.most - full_price, 0);
     const int64_t reclaimable =
-        ReclaimableWanted(zone, part.reclaimable, present.reclaimable, &surplus);
+        WantedReclaimable(zone, part.reclaimable, present.reclaimable, &surplus);
     AddOrder(zone, EngineKind::kFullPrice, full_price, present.full_price, scaling, now, orders);
     AddOrder(zone, EngineKind::kReclaimable, std::min(reclaimable, room), present.reclaimable,
              scaling, now, orders);
   }
 }
 
-// Its engines are idle, the drain outlasts their start, and others are to be had: where another
-// zone has none to give, those given up here might not be had again.
+// Engines of a drained zone may be given up if they are idle, the drain has lasted long enough, and
+// no other zone lacks capacity: if one does, engines given up here might not be available again.
 bool CapacityPlanner::MayGiveUp(const std::string& zone, const CapacityView& view, TimePoint now) {
-  if (EnginesIn(view, zone).requests > 0) return false;
+  if (EnginesInZone(view, zone).requests > 0) return false;
   const double start = ToSeconds(view.scaling.boot + view.warm_up);
   if (ToSeconds(now - drained_since_[zone]) < policy_.drain_hold_factor * start) return false;
   const std::vector<ZonePrice> open = OpenZones(view);
   return std::none_of(open.begin(), open.end(),
-                      [this](const ZonePrice& other) { return IsDry(other.zone); });
+                      [this](const ZonePrice& other) { return HasNoCapacity(other.zone); });
 }
 
-// Only downwards: what is ordered for a drained zone is paid for and bears nothing.
+// Only reduces: engines ordered for a drained zone cost money and serve nothing.
 void CapacityPlanner::AddOrdersForDrainedZones(const CapacityView& view, TimePoint now,
                                                std::vector<EngineOrder>* orders) {
   const EngineScaling& scaling = view.scaling;
   for (const ZonePrice& zone : scaling.zones) {
     if (!view.drained_zones.contains(zone.zone) || !MayGiveUp(zone.zone, view, now)) continue;
-    const ZoneEngines present = EnginesIn(view, zone.zone);
+    const ZoneEngines present = EnginesInZone(view, zone.zone);
     const int64_t base = std::min(policy_.full_price_base, scaling.most);
     const int64_t full_price = std::min(present.full_price, base);
     const int64_t reclaimable =
@@ -252,11 +256,11 @@
   if (scaling.zones.empty() || scaling.least > scaling.most) return {};
   if (!first_plan_.has_value()) {
     first_plan_ = now;
-    assumed_ = FirstNeed(scaling);
-    needed_at_ = now;
+    initial_demand_ = InitialDemand(scaling);
+    demand_updated_at_ = now;
   }
-  NoteDrains(view, now);
-  const int64_t wanted = EnginesWanted(view, now);
+  TrackDrains(view, now);
+  const int64_t wanted = WantedEngines(view, now);
   if (!has_seen_load_ && !IsSettled(now)) return {};
   SetWanted(wanted, now);
   std::vector<EngineOrder> orders;
@@ -266,10 +270,11 @@
 }
 
 void CapacityPlanner::OnOrdered(const EngineOrder& order, OrderOutcome outcome, TimePoint now) {
-  Line& line = LineOf(order.zone, order.kind);
-  if (outcome != OrderOutcome::kUnknown) line.is_dry = outcome == OrderOutcome::kNoCapacity;
-  line.ordered = order.engines;
-  line.ordered_at = now;
+  OrderState& state = OrderStateFor(order.zone, order.kind);
+  if (outcome != OrderOutcome::kUnknown)
+    state.has_no_capacity = outcome == OrderOutcome::kNoCapacity;
+  state.ordered = order.engines;
+  state.ordered_at = now;
 }
 
 }  // namespace cartsail
--- a/libs/duties/src/fleet_clock.cc
+++ b/libs/duties/src/fleet_clock.cc
@@ -6,11 +6,11 @@
 namespace cartsail {
 namespace {
 
-// Nodes exchange messages about each other four times a second, so that in this time some tens of
-// peers are heard.
-constexpr Duration kReadingHolds = seconds(15);
-// The median of some tens of clocks is as good as that of all, at any size of the fleet.
-constexpr size_t kMostReadings = 64;
+// Readings older than this are dropped. Nodes exchange gossip four times a second, so some tens of
+// peers are heard from in this time.
+constexpr Duration kReadingLifetime = seconds(15);
+// The median of some tens of clocks is as good as that of all, regardless of the fleet's size.
+constexpr size_t kMaxReadings = 64;
 
 std::chrono::milliseconds OffsetOf(WallTime wall, TimePoint now) {
   return wall - std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch());
@@ -19,10 +19,10 @@
 }  // namespace
 
 void FleetClock::AddPeerReading(const std::string& host, WallTime wall, TimePoint now) {
-  if (wall.count() <= 0) return;  // of a node that does not tell
+  if (wall.count() <= 0) return;  // the peer sends no time
   std::erase_if(readings_,
-                [now](const auto& entry) { return now - entry.second.noted > kReadingHolds; });
-  if (readings_.size() >= kMostReadings && !readings_.contains(host)) return;
+                [now](const auto& entry) { return now - entry.second.updated > kReadingLifetime; });
+  if (readings_.size() >= kMaxReadings && !readings_.contains(host)) return;
   readings_[host] = {OffsetOf(wall, now), now};
 }
 
--- a/libs/duties/src/holder_lease.cc
+++ b/libs/duties/src/holder_lease.cc
@@ -4,17 +4,17 @@
 
 namespace cartsail {
 
-void HolderLease::OnAcquired(FencingToken token, TimePoint asked) {
+void HolderLease::OnAcquired(FencingToken token, TimePoint requested_at) {
   token_ = token;
-  valid_until_ = EndOf(asked);
-  // Another node may have acted since this one did, or since its process before this one did.
-  acts_from_ = last_act_ + terms_.lease + terms_.slack;
+  valid_until_ = EndOf(requested_at);
+  // Another node may have acted since the last action of this process or of its predecessor.
+  acts_from_ = last_act_ + timing_.lease + timing_.slack;
 }
 
-void HolderLease::OnRenewed(TimePoint asked) {
-  // A renewal whose answer came after the end may have been carried out after the end as well.
-  if (!token_.has_value() || asked >= valid_until_) return;
-  valid_until_ = std::max(valid_until_, EndOf(asked));
+void HolderLease::OnRenewed(TimePoint requested_at) {
+  // A renewal requested after the lease expired may have been carried out after its end as well.
+  if (!token_.has_value() || requested_at >= valid_until_) return;
+  valid_until_ = std::max(valid_until_, EndOf(requested_at));
 }
 
 std::optional<FencingToken> HolderLease::Token(TimePoint now) const {
--- a/libs/duties/src/usage_collector.cc
+++ b/libs/duties/src/usage_collector.cc
@@ -4,19 +4,19 @@
 
 namespace cartsail {
 
-bool UsageCollector::Told::IsWhole() const {
+bool UsageCollector::SourceCounts::IsComplete() const {
   int64_t known = 0;
   for (const auto& [tenant, count] : counts) known += count;
   return closed && known == requests;
 }
 
 void UsageCollector::Merge(const UsageSource& source, const UsageShare& share) {
-  Told& told = windows_[share.window][source];
-  told.closed = told.closed || share.closed;
-  told.requests = std::max(told.requests, share.requests);
+  SourceCounts& reported = windows_[share.window][source];
+  reported.closed = reported.closed || share.closed;
+  reported.requests = std::max(reported.requests, share.requests);
   for (const auto& [tenant, count] : share.counts) {
-    // Messages may pass each other: counts only grow.
-    int64_t& known = told.counts[tenant];
+    // Messages may be reordered, and counts only grow: the greatest is the latest.
+    int64_t& known = reported.counts[tenant];
     known = std::max(known, count);
   }
 }
@@ -24,15 +24,15 @@
 bool UsageCollector::HasCompleteCounts(const UsageSource& source, WindowNumber window) const {
   const auto sources = windows_.find(window);
   if (sources == windows_.end()) return false;
-  const auto told = sources->second.find(source);
-  return told != sources->second.end() && told->second.IsWhole();
+  const auto reported = sources->second.find(source);
+  return reported != sources->second.end() && reported->second.IsComplete();
 }
 
 std::set<std::string> UsageCollector::ReportingHosts(WindowNumber window) const {
   std::set<std::string> hosts;
   const auto sources = windows_.find(window);
   if (sources == windows_.end()) return hosts;
-  for (const auto& [source, told] : sources->second) hosts.insert(source.host);
+  for (const auto& [source, reported] : sources->second) hosts.insert(source.host);
   return hosts;
 }
 
@@ -40,8 +40,8 @@
   std::set<std::string> hosts;
   const auto sources = windows_.find(window);
   if (sources == windows_.end()) return hosts;
-  for (const auto& [source, told] : sources->second) {
-    if (told.IsWhole()) hosts.insert(source.host);
+  for (const auto& [source, reported] : sources->second) {
+    if (reported.IsComplete()) hosts.insert(source.host);
   }
   return hosts;
 }
@@ -50,8 +50,8 @@
   TenantCounts total;
   const auto sources = windows_.find(window);
   if (sources == windows_.end()) return total;
-  for (const auto& [source, told] : sources->second) {
-    for (const auto& [tenant, count] : told.counts) total[tenant] += count;
+  for (const auto& [source, reported] : sources->second) {
+    for (const auto& [tenant, count] : reported.counts) total[tenant] += count;
   }
   return total;
 }
--- a/libs/duties/src/window_report.cc
+++ b/libs/duties/src/window_report.cc
@@ -5,13 +5,13 @@
 namespace cartsail {
 
 void WindowReport::OnRecorded(RecordOutcome outcome) {
-  // After an unknown outcome the record may be there, or may still come: reading tells the first,
-  // and writing again fails on the condition in the second case.
+  // After an unknown outcome the record may exist already, which reading shows, or may still be
+  // written, in which case a second write fails on its condition.
   step_ = outcome == RecordOutcome::kWritten ? Step::kSend : Step::kRead;
 }
 
-void WindowReport::OnRead(std::optional<TenantCounts> recorded, bool holds) {
-  if (!holds) {
+void WindowReport::OnRead(std::optional<TenantCounts> recorded, bool is_holder) {
+  if (!is_holder) {
     step_ = Step::kLost;
     return;
   }
--- a/libs/duties/tests/capacity_planner_test.cc
+++ b/libs/duties/tests/capacity_planner_test.cc
@@ -1,4 +1,4 @@
-// Orders of engines against a model of the platform that starts them, in virtual time.
+// Tests the engine orders of CapacityPlanner against a simulated platform, in virtual time.
 #include "cartsail/duties/capacity_planner.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 using testing::EnginePlatform;
 
 constexpr Duration kStep = milliseconds(250);
-constexpr int64_t kStanding = 28;  // in each zone at the start, at the full price
+constexpr int64_t kInitialEngines = 28;  // in each zone at the start, at the full price
 
 EngineScaling Scaling() {
   EngineScaling scaling;
@@ -29,7 +29,7 @@
   CapacityPolicy policy;
   policy.reserve = 2;
   policy.full_price_reserve = 1.2;
-  policy.first_cost_share = 0.11;  // half of the most, at a fifth of the price
+  policy.first_cost_share = 0.11;  // buys half of the maximum at 0.22 of the price
   policy.demand_half_life = seconds(20);
   policy.full_price_base = 1;
   policy.target_utilization = 0.5;
@@ -40,7 +40,8 @@
   explicit Fleet(CapacityPolicy policy = Policy(), bool first_start = false)
       : planner(policy, first_start) {}
 
-  // Runs with `requests` at the engines; the fewest engines that served meanwhile.
+  // Runs with `requests` at the engines. Returns the smallest number of ready engines during the
+  // run.
   int64_t Run(Duration duration, int64_t requests) {
     const TimePoint end = now + duration;
     int64_t fewest = platform.Engines(now);
@@ -54,7 +55,7 @@
     return fewest;
   }
 
-  EnginePlatform platform{Scaling(), kStanding};
+  EnginePlatform platform{Scaling(), kInitialEngines};
   CapacityPlanner planner;
   TimePoint now = TimePoint() + seconds(1000);
 };
@@ -69,7 +70,7 @@
   for (const ZonePrice& zone : Scaling().zones) {
     cr_assert(fleet.platform.Engines(zone.zone, EngineKind::kFullPrice, fleet.now) == 1);
   }
-  cr_assert(fleet.platform.MostOrdered() <= Scaling().most);
+  cr_assert(fleet.platform.MaxOrdered() <= Scaling().most);
 }
 
 Test(capacity_planner, a_steady_load_takes_no_orders) {
@@ -96,11 +97,11 @@
   Fleet fleet;
   fleet.Run(seconds(30), 300);
   const int64_t before = fleet.platform.Engines(fleet.now);
-  fleet.platform.TakeAway("b");
+  fleet.platform.ReclaimAll("b");
   fleet.Run(seconds(6), 300);
   cr_assert(fleet.platform.Engines(fleet.now) >= before - 4);
   cr_assert(fleet.platform.Engines("b", EngineKind::kFullPrice, fleet.now) == 1);
-  fleet.platform.SetDry("b", false);
+  fleet.platform.SetNoCapacity("b", false);
   fleet.Run(seconds(20), 300);
   cr_assert(fleet.platform.Engines("b", EngineKind::kReclaimable, fleet.now) >= 20);
 }
@@ -108,19 +109,19 @@
 Test(capacity_planner, where_all_are_taken_away_the_full_price_is_paid_for_what_is_needed) {
   Fleet fleet;
   fleet.Run(seconds(30), 300);
-  for (const ZonePrice& zone : Scaling().zones) fleet.platform.TakeAway(zone.zone);
+  for (const ZonePrice& zone : Scaling().zones) fleet.platform.ReclaimAll(zone.zone);
   fleet.Run(seconds(8), 300);
   const int64_t engines = fleet.platform.Engines(fleet.now);
   cr_assert(engines >= 60, "%ld engines", engines);
   cr_assert(engines < 100, "%ld engines", engines);
-  for (const ZonePrice& zone : Scaling().zones) fleet.platform.SetDry(zone.zone, false);
+  for (const ZonePrice& zone : Scaling().zones) fleet.platform.SetNoCapacity(zone.zone, false);
   fleet.Run(seconds(60), 300);
   for (const ZonePrice& zone : Scaling().zones) {
     cr_assert(fleet.platform.Engines(zone.zone, EngineKind::kFullPrice, fleet.now) == 1);
   }
 }
 
-// The most is ordered while the engines at the full price still stand: they make room.
+// The maximum is wanted while the initial full-price engines still run, so they must make room.
 Test(capacity_planner, engines_at_the_full_price_make_room_where_the_most_is_wanted) {
   CapacityPolicy policy = Policy();
   policy.first_cost_share = 1;
@@ -131,24 +132,24 @@
   for (const ZonePrice& zone : Scaling().zones) {
     cr_assert(fleet.platform.Engines(zone.zone, EngineKind::kFullPrice, fleet.now) == 1);
   }
-  cr_assert(fleet.platform.MostOrdered() <= Scaling().most);
+  cr_assert(fleet.platform.MaxOrdered() <= Scaling().most);
 }
 
 Test(capacity_planner, a_lost_order_is_given_again) {
   Fleet fleet;
-  fleet.platform.LoseNext(4);
+  fleet.platform.DropNext(4);
   fleet.Run(seconds(30), 300);
   cr_assert(fleet.platform.Engines(fleet.now) >= 2 * 300 / 6);
 }
 
-// It does not know the load yet, and sees none.
+// The new holder does not know the load yet and sees no requests.
 Test(capacity_planner, a_new_holder_gives_no_engine_at_the_full_price_up_at_once) {
   Fleet fleet;
   const int64_t fewest = fleet.Run(milliseconds(2500), 0);
-  cr_assert(fewest == 4 * kStanding);
+  cr_assert(fewest == 4 * kInitialEngines);
 }
 
-// Nothing runs yet: three seconds of 112 engines at the full price are saved.
+// No requests run yet: not waiting saves three seconds of 112 full-price engines.
 Test(capacity_planner, at_the_first_start_of_the_system_cheap_engines_are_ordered_at_once) {
   Fleet fleet(Policy(), true);
   fleet.Run(milliseconds(500), 0);
@@ -159,21 +160,21 @@
   cr_assert(fleet.platform.Engines(fleet.now) >= 112);
 }
 
-// Its engines are there again while those at the full price still stand in for them under load.
+// Reclaimable capacity returns while full-price engines still replace it under load.
 Test(capacity_planner, a_zone_that_has_cheap_engines_again_goes_over_to_them_in_parts) {
   CapacityPolicy policy = Policy();
   policy.full_price_reserve = 1.2;
   Fleet fleet(policy);
   fleet.Run(seconds(30), 1200);
-  fleet.platform.TakeAway("b");
+  fleet.platform.ReclaimAll("b");
   fleet.Run(seconds(10), 1200);
   cr_assert(fleet.platform.Engines("b", EngineKind::kFullPrice, fleet.now) == 55);
-  fleet.platform.SetDry("b", false);
+  fleet.platform.SetNoCapacity("b", false);
   const int64_t fewest = fleet.Run(seconds(40), 1200);
   cr_assert(fewest >= 224 - 15, "%ld engines", fewest);
   cr_assert(fleet.platform.Engines("b", EngineKind::kFullPrice, fleet.now) == 1);
   cr_assert(fleet.platform.Engines("b", EngineKind::kReclaimable, fleet.now) == 55);
-  cr_assert(fleet.platform.MostOrdered() <= Scaling().most);
+  cr_assert(fleet.platform.MaxOrdered() <= Scaling().most);
 }
 
 Test(capacity_planner, without_reclaimable_engines_all_are_ordered_at_the_full_price) {
--- a/libs/duties/tests/fleet_clock_test.cc
+++ b/libs/duties/tests/fleet_clock_test.cc
@@ -1,4 +1,4 @@
-// The time of day that a fleet agrees on without trusting any one clock.
+// Tests that the fleet's time of day does not depend on any single clock.
 #include "cartsail/duties/fleet_clock.h"
 
 #include <string>
@@ -15,8 +15,8 @@
   FleetClock clock;
   clock.AddOwnReading(kTrue + seconds(6), kNow);
   for (int node = 0; node < 10; ++node) {
-    const WallTime off = node < 4 ? WallTime(seconds(5)) : WallTime(node);
-    clock.AddPeerReading("n" + std::to_string(node), kTrue + off, kNow);
+    const WallTime offset = node < 4 ? WallTime(seconds(5)) : WallTime(node);
+    clock.AddPeerReading("n" + std::to_string(node), kTrue + offset, kNow);
   }
   const WallTime error = clock.At(kNow) - kTrue;
   cr_assert(error >= WallTime(0) && error <= WallTime(10));
@@ -28,7 +28,7 @@
   cr_assert(clock.At(kNow + seconds(3)) == kTrue + seconds(3));
 }
 
-Test(fleet_clock, a_clock_that_jumps_back_is_believed_again_once_it_is_heard) {
+Test(fleet_clock, a_clock_that_jumps_back_is_used_again_after_its_next_reading) {
   FleetClock clock;
   for (const char* host : {"a", "b", "c"}) clock.AddPeerReading(host, kTrue + seconds(4), kNow);
   for (const char* host : {"a", "b", "c"})
@@ -36,7 +36,7 @@
   cr_assert(clock.At(kNow + seconds(1)) == kTrue + seconds(1));
 }
 
-Test(fleet_clock, a_node_that_tells_no_time_is_not_counted) {
+Test(fleet_clock, a_node_that_sends_no_time_is_ignored) {
   FleetClock clock;
   clock.AddOwnReading(kTrue, kNow);
   for (const char* host : {"a", "b", "c"}) clock.AddPeerReading(host, WallTime(0), kNow);
--- a/libs/duties/tests/support/engine_platform.cc
+++ b/libs/duties/tests/support/engine_platform.cc
@@ -7,41 +7,41 @@
 EnginePlatform::EnginePlatform(EngineScaling scaling, int64_t full_price_in_each_zone)
     : scaling_(std::move(scaling)) {
   for (const ZonePrice& zone : scaling_.zones) {
-    const Line line{zone.zone, EngineKind::kFullPrice};
-    engines_[line].resize(static_cast<size_t>(full_price_in_each_zone));
-    ordered_[line] = full_price_in_each_zone;
+    const EngineGroup group{zone.zone, EngineKind::kFullPrice};
+    engines_[group].resize(static_cast<size_t>(full_price_in_each_zone));
+    ordered_[group] = full_price_in_each_zone;
   }
 }
 
 OrderOutcome EnginePlatform::Order(const EngineOrder& order, TimePoint now) {
   ++orders_;
-  if (to_lose_ > 0) {
-    --to_lose_;
+  if (to_drop_ > 0) {
+    --to_drop_;
     return OrderOutcome::kUnknown;
   }
-  const size_t there = engines_[{order.zone, order.kind}].size();
-  const bool grows = static_cast<size_t>(order.engines) > there;
-  if (grows && drained_.contains(order.zone)) ++into_drained_;
+  const size_t present = engines_[{order.zone, order.kind}].size();
+  const bool grows = static_cast<size_t>(order.engines) > present;
+  if (grows && drained_.contains(order.zone)) ++orders_into_drained_;
   if (to_delay_ > 0) {
     --to_delay_;
     delayed_.push_back({order, now + delay_});
     return OrderOutcome::kUnknown;
   }
-  if (grows && order.kind == EngineKind::kReclaimable && dry_[order.zone]) {
+  if (grows && order.kind == EngineKind::kReclaimable && no_capacity_[order.zone]) {
     return OrderOutcome::kNoCapacity;
   }
-  CarryOut(order, now);
+  Execute(order, now);
   return OrderOutcome::kAccepted;
 }
 
-void EnginePlatform::CarryOut(const EngineOrder& order, TimePoint now) {
-  const Line line{order.zone, order.kind};
-  ordered_[line] = order.engines;
+void EnginePlatform::Execute(const EngineOrder& order, TimePoint now) {
+  const EngineGroup group{order.zone, order.kind};
+  ordered_[group] = order.engines;
   const int64_t both = ordered_[{order.zone, EngineKind::kFullPrice}] +
                        ordered_[{order.zone, EngineKind::kReclaimable}];
-  most_ordered_ = std::max(most_ordered_, both);
+  max_ordered_ = std::max(max_ordered_, both);
   const TimePoint ready = now + scaling_.boot;
-  engines_[line].resize(static_cast<size_t>(order.engines), Engine{ready, ready + warm_up_});
+  engines_[group].resize(static_cast<size_t>(order.engines), Engine{ready, ready + warm_up_});
 }
 
 void EnginePlatform::DelayNext(int orders, Duration delay) {
@@ -51,23 +51,23 @@
 
 void EnginePlatform::Advance(TimePoint now) {
   for (const DelayedOrder& delayed : delayed_) {
-    if (delayed.due <= now) CarryOut(delayed.order, now);
+    if (delayed.due <= now) Execute(delayed.order, now);
   }
   std::erase_if(delayed_, [now](const DelayedOrder& delayed) { return delayed.due <= now; });
 }
 
 void EnginePlatform::Restore(const std::string& zone, TimePoint now) {
   drained_.erase(zone);
-  for (auto& [line, engines] : engines_) {
-    if (line.first != zone) continue;
+  for (auto& [group, engines] : engines_) {
+    if (group.first != zone) continue;
     for (Engine& engine : engines) engine.warm = std::max(engine.ready, now) + warm_up_;
   }
 }
 
-void EnginePlatform::TakeAway(const std::string& zone) {
+void EnginePlatform::ReclaimAll(const std::string& zone) {
   engines_[{zone, EngineKind::kReclaimable}].clear();
   ordered_[{zone, EngineKind::kReclaimable}] = 0;
-  dry_[zone] = true;
+  no_capacity_[zone] = true;
 }
 
 int64_t EnginePlatform::Engines(const std::string& zone, EngineKind kind, TimePoint now) {
@@ -89,8 +89,8 @@
   double price = 0;
   for (const ZonePrice& zone : scaling_.zones) {
     const auto full = static_cast<double>(Engines(zone.zone, EngineKind::kFullPrice, now));
-    const auto cheap = static_cast<double>(Engines(zone.zone, EngineKind::kReclaimable, now));
-    price += zone.price * (full + cheap * scaling_.reclaimable_price);
+    const auto reclaimable = static_cast<double>(Engines(zone.zone, EngineKind::kReclaimable, now));
+    price += zone.price * (full + reclaimable * scaling_.reclaimable_price);
   }
   return price;
 }
@@ -120,7 +120,7 @@
                        [now](const Engine& engine) { return engine.warm <= now; });
 }
 
-int64_t EnginePlatform::Bearing(TimePoint now) const {
+int64_t EnginePlatform::WarmServing(TimePoint now) const {
   int64_t sum = 0;
   for (const ZonePrice& zone : scaling_.zones) {
     if (drained_.contains(zone.zone)) continue;
--- a/libs/duties/tests/usage_collector_test.cc
+++ b/libs/duties/tests/usage_collector_test.cc
@@ -1,4 +1,4 @@
-// Counts of many nodes, told again and again, lost and out of order.
+// Tests the sum of counts that nodes report repeatedly, in parts and out of order.
 #include "cartsail/duties/usage_collector.h"
 
 #include "cartsail/duties/usage_ledger.h"
@@ -65,9 +65,9 @@
 }
 
 Test(usage_window, windows_are_numbered_from_1970) {
-  const UsageSchedule terms{std::chrono::milliseconds(5000), std::chrono::milliseconds(10000)};
-  cr_assert(WindowAt(WallTime(1'767'225'600'000), terms) == 353445120);
-  cr_assert(EndOf(353445120, terms) == WallTime(1'767'225'605'000));
+  const UsageSchedule schedule{std::chrono::milliseconds(5000), std::chrono::milliseconds(10000)};
+  cr_assert(WindowAt(WallTime(1'767'225'600'000), schedule) == 353445120);
+  cr_assert(EndOf(353445120, schedule) == WallTime(1'767'225'605'000));
 }
 
 }  // namespace
--- a/libs/duties/tests/window_report_test.cc
+++ b/libs/duties/tests/window_report_test.cc
@@ -1,6 +1,7 @@
-// All interleavings of two holders that report one window with different counts: answers are lost,
-// calls are carried out later, a holder goes on after it was replaced, or crashes at any step. The
-// platform never accepts two different reports, whether it looks at fencing tokens or not.
+// Explores all interleavings of two holders that report one window with different counts: answers
+// are lost, calls are carried out late, and a holder continues after it was replaced or crashes at
+// any step. The platform must never accept two different reports, whether or not it checks fencing
+// tokens.
 #include "cartsail/duties/window_report.h"
 
 #include <array>
@@ -15,30 +16,30 @@
 namespace {
 
 constexpr size_t kHolders = 2;
-constexpr size_t kMostLate = 2;  // calls that are still to be carried out, of each kind
+constexpr size_t kMaxDelayed = 2;  // limit of delayed calls of each kind
 
 using Step = WindowReport::Step;
 
 TenantCounts CountsOf(size_t holder) { return {{"tenant", static_cast<int64_t>(holder) + 1}}; }
 
-struct LateRecord {
+struct DelayedRecord {
   size_t holder = 0;
   TenantCounts counts;
 };
 
-struct LateSend {
+struct DelayedSend {
   size_t holder = 0;
   TenantCounts counts;
 };
 
-// The world as one state; holder 0 has the duty first, holder 1 takes it over.
-struct World {
+// State of the whole system. Holder 0 has the duty first; holder 1 takes it over.
+struct SystemState {
   std::array<std::optional<WindowReport>, kHolders> reports;
-  size_t owner = 0;                      // of the duty's record in the store
+  size_t owner = 0;                      // holder named by the duty's record in the store
   std::optional<TenantCounts> recorded;  // in the store
-  std::vector<LateRecord> late_records;
-  std::vector<LateSend> late_sends;
-  std::optional<size_t> greatest_token;  // that the platform has seen
+  std::vector<DelayedRecord> delayed_records;
+  std::vector<DelayedSend> delayed_sends;
+  std::optional<size_t> greatest_token;  // seen by the platform; a holder's index is its token
   std::set<TenantCounts> accepted;
 
   std::string Key() const {
@@ -53,13 +54,13 @@
     }
     key += "r";
     if (recorded.has_value()) add(*recorded);
-    for (const LateRecord& late : late_records) {
-      key += "w" + std::to_string(late.holder);
-      add(late.counts);
+    for (const DelayedRecord& delayed : delayed_records) {
+      key += "w" + std::to_string(delayed.holder);
+      add(delayed.counts);
     }
-    for (const LateSend& late : late_sends) {
-      key += "s" + std::to_string(late.holder);
-      add(late.counts);
+    for (const DelayedSend& delayed : delayed_sends) {
+      key += "s" + std::to_string(delayed.holder);
+      add(delayed.counts);
     }
     key += "t" + (greatest_token.has_value() ? std::to_string(*greatest_token) : "");
     for (const TenantCounts& counts : accepted) add(counts);
@@ -70,50 +71,50 @@
 class Explorer {
  public:
   Explorer(bool checks_tokens, bool records) : checks_tokens_(checks_tokens) {
-    World world;
-    world.reports[0].emplace(CountsOf(0), !records);
+    SystemState state;
+    state.reports[0].emplace(CountsOf(0), !records);
     records_ = records;
-    Visit(world);
+    Visit(state);
   }
 
-  bool FoundTwoReports() const { return found_; }
+  bool FoundTwoReports() const { return found_two_reports_; }
   size_t States() const { return seen_.size(); }
   bool WasAccepted() const { return accepted_; }
 
  private:
-  bool WriteRecord(World* world, size_t holder, const TenantCounts& counts) const {
-    if (world->owner != holder || world->recorded.has_value()) return false;
-    world->recorded = counts;
+  bool WriteRecord(SystemState* state, size_t holder, const TenantCounts& counts) const {
+    if (state->owner != holder || state->recorded.has_value()) return false;
+    state->recorded = counts;
     return true;
   }
 
-  // False when the platform refuses the token.
-  bool Accept(World* world, size_t holder, const TenantCounts& counts) const {
-    if (checks_tokens_ && world->greatest_token.value_or(0) > holder) return false;
-    world->greatest_token = std::max(world->greatest_token.value_or(0), holder);
-    world->accepted.insert(counts);
+  // Returns false if the platform refuses the token.
+  bool Accept(SystemState* state, size_t holder, const TenantCounts& counts) const {
+    if (checks_tokens_ && state->greatest_token.value_or(0) > holder) return false;
+    state->greatest_token = std::max(state->greatest_token.value_or(0), holder);
+    state->accepted.insert(counts);
     return true;
   }
 
-  void Visit(const World& world) {
-    if (world.accepted.size() > 1) found_ = true;
-    if (!world.accepted.empty()) accepted_ = true;
-    if (found_ || !seen_.insert(world.Key()).second) return;
-    TakeOver(world);
+  void Visit(const SystemState& state) {
+    if (state.accepted.size() > 1) found_two_reports_ = true;
+    if (!state.accepted.empty()) accepted_ = true;
+    if (found_two_reports_ || !seen_.insert(state.Key()).second) return;
+    TakeOver(state);
     for (size_t holder = 0; holder < kHolders; ++holder) {
-      if (!world.reports[holder].has_value()) continue;
-      Act(world, holder);
-      World crashed = world;
+      if (!state.reports[holder].has_value()) continue;
+      Act(state, holder);
+      SystemState crashed = state;
       crashed.reports[holder].reset();
       Visit(crashed);
     }
-    CarryOutLate(world);
+    ExecuteDelayed(state);
   }
 
-  // The second holder reads what is recorded and sends it, or records its own counts.
-  void TakeOver(const World& world) {
-    if (world.owner == 1) return;
-    World next = world;
+  // The second holder sends the recorded counts if there are any, or else records its own.
+  void TakeOver(const SystemState& state) {
+    if (state.owner == 1) return;
+    SystemState next = state;
     next.owner = 1;
     if (next.recorded.has_value() && records_) {
       next.reports[1].emplace(*next.recorded, true);
@@ -123,81 +124,82 @@
     Visit(next);
   }
 
-  void Act(const World& world, size_t holder) {
-    switch (world.reports[holder]->Next()) {
+  void Act(const SystemState& state, size_t holder) {
+    switch (state.reports[holder]->Next()) {
       case Step::kRecord:
-        return ActRecord(world, holder);
+        return ActRecord(state, holder);
       case Step::kRead:
-        return ActRead(world, holder);
+        return ActRead(state, holder);
       case Step::kSend:
-        return ActSend(world, holder);
+        return ActSend(state, holder);
       case Step::kDone:
       case Step::kLost:
         return;
     }
   }
 
-  void ActRecord(const World& world, size_t holder) {
-    const TenantCounts counts = world.reports[holder]->Counts();
-    World answered = world;
-    const bool written = WriteRecord(&answered, holder, counts);
-    World unanswered = answered;
-    answered.reports[holder]->OnRecorded(written ? RecordOutcome::kWritten
-                                                 : RecordOutcome::kConditionFailed);
-    Visit(answered);
-    unanswered.reports[holder]->OnRecorded(RecordOutcome::kUnknown);
-    Visit(unanswered);
-    World not_done = world;
-    not_done.reports[holder]->OnRecorded(RecordOutcome::kUnknown);
-    Visit(not_done);
-    if (world.late_records.size() >= kMostLate) return;
-    World later = not_done;
-    later.late_records.push_back({holder, counts});
-    Visit(later);
+  void ActRecord(const SystemState& state, size_t holder) {
+    const TenantCounts counts = state.reports[holder]->Counts();
+    SystemState answer_received = state;
+    const bool written = WriteRecord(&answer_received, holder, counts);
+    SystemState answer_lost = answer_received;
+    answer_received.reports[holder]->OnRecorded(written ? RecordOutcome::kWritten
+                                                        : RecordOutcome::kConditionFailed);
+    Visit(answer_received);
+    answer_lost.reports[holder]->OnRecorded(RecordOutcome::kUnknown);
+    Visit(answer_lost);
+    SystemState not_executed = state;
+    not_executed.reports[holder]->OnRecorded(RecordOutcome::kUnknown);
+    Visit(not_executed);
+    if (state.delayed_records.size() >= kMaxDelayed) return;
+    SystemState delayed_call = not_executed;
+    delayed_call.delayed_records.push_back({holder, counts});
+    Visit(delayed_call);
   }
 
-  void ActRead(const World& world, size_t holder) {
-    World next = world;
-    next.reports[holder]->OnRead(world.recorded, world.owner == holder);
+  void ActRead(const SystemState& state, size_t holder) {
+    SystemState next = state;
+    next.reports[holder]->OnRead(state.recorded, state.owner == holder);
     Visit(next);
   }
 
-  void ActSend(const World& world, size_t holder) {
-    const TenantCounts counts = world.reports[holder]->Counts();
-    World answered = world;
-    const bool accepted = Accept(&answered, holder, counts);
-    World unanswered = answered;
-    answered.reports[holder]->OnSent(accepted ? SendOutcome::kAccepted : SendOutcome::kFenced);
-    Visit(answered);
-    unanswered.reports[holder]->OnSent(SendOutcome::kUnknown);
-    Visit(unanswered);
-    if (world.late_sends.size() >= kMostLate) return;
-    World later = world;
-    later.reports[holder]->OnSent(SendOutcome::kUnknown);
-    later.late_sends.push_back({holder, counts});
-    Visit(later);
+  void ActSend(const SystemState& state, size_t holder) {
+    const TenantCounts counts = state.reports[holder]->Counts();
+    SystemState answer_received = state;
+    const bool accepted = Accept(&answer_received, holder, counts);
+    SystemState answer_lost = answer_received;
+    answer_received.reports[holder]->OnSent(accepted ? SendOutcome::kAccepted
+                                                     : SendOutcome::kFenced);
+    Visit(answer_received);
+    answer_lost.reports[holder]->OnSent(SendOutcome::kUnknown);
+    Visit(answer_lost);
+    if (state.delayed_sends.size() >= kMaxDelayed) return;
+    SystemState delayed_call = state;
+    delayed_call.reports[holder]->OnSent(SendOutcome::kUnknown);
+    delayed_call.delayed_sends.push_back({holder, counts});
+    Visit(delayed_call);
   }
 
-  void CarryOutLate(const World& world) {
-    for (size_t i = 0; i < world.late_records.size(); ++i) {
-      World next = world;
-      const LateRecord late = next.late_records[i];
-      next.late_records.erase(next.late_records.begin() + static_cast<int64_t>(i));
-      WriteRecord(&next, late.holder, late.counts);
+  void ExecuteDelayed(const SystemState& state) {
+    for (size_t i = 0; i < state.delayed_records.size(); ++i) {
+      SystemState next = state;
+      const DelayedRecord delayed = next.delayed_records[i];
+      next.delayed_records.erase(next.delayed_records.begin() + static_cast<int64_t>(i));
+      WriteRecord(&next, delayed.holder, delayed.counts);
       Visit(next);
     }
-    for (size_t i = 0; i < world.late_sends.size(); ++i) {
-      World next = world;
-      const LateSend late = next.late_sends[i];
-      next.late_sends.erase(next.late_sends.begin() + static_cast<int64_t>(i));
-      Accept(&next, late.holder, late.counts);
+    for (size_t i = 0; i < state.delayed_sends.size(); ++i) {
+      SystemState next = state;
+      const DelayedSend delayed = next.delayed_sends[i];
+      next.delayed_sends.erase(next.delayed_sends.begin() + static_cast<int64_t>(i));
+      Accept(&next, delayed.holder, delayed.counts);
       Visit(next);
     }
   }
 
   bool checks_tokens_;
   bool records_ = true;
-  bool found_ = false;
+  bool found_two_reports_ = false;
   bool accepted_ = false;
   std::set<std::string> seen_;
 };
@@ -211,7 +213,7 @@
   }
 }
 
-// What the exploration would find if counts were sent without being recorded first.
+// Shows that the exploration finds a violation if counts are sent without being recorded first.
 Test(window_report, without_the_record_two_counts_are_reported) {
   for (const bool checks_tokens : {true, false}) {
     cr_assert(Explorer(checks_tokens, false).FoundTwoReports());
