--- a/libs/base/include/cartsail/base/status.h
+++ b/libs/base/include/cartsail/base/status.h
@@ -33,12 +33,12 @@
   kStreamVersionGone,       // no engine of the version that began the stream is left
   kQuarantined,             // back ends ended while running this request: it is not sent to others
   kBackendRefused,          // the back end answered that it did not start the request
-  kBackendFailed,           // the back end broke off its answer
+  kBackendFailed,           // the back end broke off its answer, or the answer is unusable
   kConnectFailed,           // no connection could be made; nothing was sent
   kConnectionLost,          // the connection was lost after bytes may have been sent
   kTimeout,                 // no answer in time
   kPreempted,               // the slot was reclaimed for a higher tier
-  kSuperseded,              // another resumption took over this stream
+  kSuperseded,              // another connection took over this stream
   kPlatformUnavailable,     // the key-value service does not answer
   kPlatformThrottled,       // the key-value service refused the call due to its rate limit
   kConflict,                // a compare-and-swap failed due to another writer
