--- a/libs/relay/src/placement/cache_inventory.cc
+++ b/libs/relay/src/placement/cache_inventory.cc
@@ -19,22 +19,24 @@
 
 namespace asio = boost::asio;
 
-// After a restart of all nodes callers come back within tens of milliseconds.
-constexpr Duration kFirstInterval = milliseconds(25);
+// After a restart of all nodes, callers reconnect within tens of milliseconds.
+constexpr Duration kStartupInterval = milliseconds(25);
 constexpr Duration kInterval = milliseconds(500);
-constexpr Duration kFirstIntervalsFor = seconds(6);  // ranks settle some seconds after a start
-// A node that has heard others is first in rank for this long before it asks: nodes that start
-// together hear of each other within it. One that has heard nobody waits longer, since others may
-// be about to start.
-constexpr Duration kSettled = milliseconds(100);
-constexpr Duration kAlone = seconds(1);
-// An engine holds its work up while it lists, so few nodes ask, and few engines at a time.
-constexpr int kMostAtOnce = 8;
-// Of one service, when this node becomes its coordinator: asking each of 10,000 engines would take
-// longer than what they hold is remembered, and cost as many probes and new connections.
-constexpr size_t kMostAsked = 256;
+constexpr Duration kStartupPeriod = seconds(6);  // ranks settle within some seconds of a start
+// Time for which a node must be first in rank before it queries engines. Nodes that start together
+// discover each other within the shorter time. A node that has discovered no other waits longer,
+// since others may be about to start.
+constexpr Duration kSettleTime = milliseconds(100);
+constexpr Duration kSettleTimeAlone = seconds(1);
+// An engine delays its work while it lists its cache, so few engines are queried at a time, and
+// only by the coordinator.
+constexpr int kMaxConcurrent = 8;
+// Engines of one service to query when this node becomes its coordinator. Querying each of 10,000
+// engines would take longer than their answers are remembered, and would cost as many probes and
+// new connections.
+constexpr size_t kMaxQueried = 256;
 constexpr Duration kTimeout = milliseconds(500);  // a list of some thousand parts over a slow link
-constexpr size_t kMostBytes = 4 << 20;
+constexpr size_t kMaxBytes = 4 << 20;
 constexpr int kOk = 200;
 
 }  // namespace
@@ -43,7 +45,8 @@
     const absl::StatusOr<HttpResponse>& response) const {
   if (!response.ok()) return response.status();
   if (response->status != kOk) {
-    return MakeError(ErrorKind::kBackendRefused, fmt::format("status {}", response->status));
+    return MakeError(ErrorKind::kBackendRefused,
+                     fmt::format("engine answered with status {}", response->status));
   }
   return context_.format.ParseCachedParts(response->body);
 }
@@ -58,8 +61,8 @@
 asio::awaitable<void> CacheInventory::Watch() {
   Timer timer(context_.io);
   while (true) {
-    const bool just_started = Now() - started_ < kFirstIntervalsFor;
-    timer.expires_after(just_started ? kFirstInterval : kInterval);
+    const bool just_started = Now() - started_ < kStartupPeriod;
+    timer.expires_after(just_started ? kStartupInterval : kInterval);
     boost::system::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     Check(Now());
@@ -68,17 +71,17 @@
 
 void CacheInventory::Check(TimePoint now) {
   if (context_.draining || context_.routing.Table() == nullptr) return;
-  // All engines start empty together with the whole system.
-  const bool all_empty = context_.options.first_start && now - started_ < kFirstIntervalsFor;
-  const Duration wait = context_.peers.LiveCount() > 0 ? kSettled : kAlone;
+  // When the whole system starts, all caches are empty.
+  const bool all_empty = context_.options.first_start && now - started_ < kStartupPeriod;
+  const Duration wait = context_.peers.LiveCount() > 0 ? kSettleTime : kSettleTimeAlone;
   for (const std::string& service : context_.routing.Table()->EngineServices()) {
     Coordination& coordination = services_[service];
     const std::vector<std::string> ranks = context_.peers.RankCoordinators(service, 1, now);
     const bool is_first = !ranks.empty() && ranks.front().empty();
     if (is_first != coordination.is_first) coordination = {now, is_first, false};
-    if (!is_first || coordination.asked || now - coordination.since < wait) continue;
+    if (!is_first || coordination.queried || now - coordination.since < wait) continue;
     if (context_.dispatcher.Registry().ReadyOf(service).empty()) continue;
-    coordination.asked = true;
+    coordination.queried = true;
     if (!all_empty) Enqueue(service);
   }
 }
@@ -86,30 +89,31 @@
 void CacheInventory::Enqueue(const std::string& service) {
   std::vector<const Backend*> engines = context_.dispatcher.Registry().ReadyOf(service);
   std::shuffle(engines.begin(), engines.end(), random_);
-  const size_t asked = std::min(engines.size(), kMostAsked);
+  const size_t queried = std::min(engines.size(), kMaxQueried);
   for (size_t i = 0; i < engines.size(); ++i) {
-    if (known_.insert(engines[i]->key).second && i < asked) waiting_.push_back(*engines[i]);
+    if (seen_.insert(engines[i]->key).second && i < queried) queue_.push_back(*engines[i]);
   }
-  while (asking_ < kMostAtOnce && asking_ < static_cast<int>(waiting_.size())) {
-    ++asking_;
-    asio::co_spawn(context_.io, AskWaiting(), asio::detached);
+  while (queries_in_progress_ < kMaxConcurrent &&
+         queries_in_progress_ < static_cast<int>(queue_.size())) {
+    ++queries_in_progress_;
+    asio::co_spawn(context_.io, QueryQueued(), asio::detached);
   }
 }
 
-asio::awaitable<void> CacheInventory::AskWaiting() {
-  while (!waiting_.empty()) {
-    Backend engine = std::move(waiting_.front());
-    waiting_.pop_front();
-    co_await Ask(std::move(engine));
+asio::awaitable<void> CacheInventory::QueryQueued() {
+  while (!queue_.empty()) {
+    Backend engine = std::move(queue_.front());
+    queue_.pop_front();
+    co_await Query(std::move(engine));
   }
-  --asking_;
+  --queries_in_progress_;
 }
 
-asio::awaitable<void> CacheInventory::Ask(Backend engine) {
+asio::awaitable<void> CacheInventory::Query(Backend engine) {
   Endpoint endpoint;
   if (!ParseEndpoint(engine.address, &endpoint)) co_return;
-  // It has asked this node to back off, takes a bounded rate, or leaves: what it holds is learned
-  // from requests.
+  // The engine has requested a back-off, limits its rate, or is shutting down. Its cache becomes
+  // known from requests instead.
   if (!context_.dispatcher.Registry().MayAsk(engine.key, Now())) {
     Log(LogLevel::kInfo, "cache_inventory_skipped", {{"backend", engine.id}});
     co_return;
@@ -117,10 +121,10 @@
   HttpRequest request;
   request.method = "GET";
   request.target = context_.format.Names().cached_parts_path;
-  const TimePoint asked = Now();
+  const TimePoint queried = Now();
   const auto response =
-      co_await Fetch(context_.io.get_executor(), endpoint, request, kTimeout, kMostBytes);
-  if (response.ok()) NoteAnswer(context_, engine, {response->status, response->headers, asked});
+      co_await Fetch(context_.io.get_executor(), endpoint, request, kTimeout, kMaxBytes);
+  if (response.ok()) NoteAnswer(context_, engine, {response->status, response->headers, queried});
   const absl::StatusOr<std::vector<PromptPart>> parts = PartsOf(response);
   if (parts.ok()) context_.dispatcher.NoteHeld(engine.key, *parts, Now());
   Counters& counters = GlobalCounters();
--- a/libs/relay/src/placement/cache_inventory.h
+++ b/libs/relay/src/placement/cache_inventory.h
@@ -1,6 +1,6 @@
-// Asks engines which parts of prompts they hold, when this node becomes the coordinator of their
-// service: another coordinator's knowledge ends with it, what engines hold does not. Each engine is
-// asked once at most. One thread.
+// Queries engines for the prompt parts in their caches when this node becomes the coordinator of
+// their service. The previous coordinator's knowledge is lost with it, but the engines' caches are
+// not. Each engine is queried at most once. Single-threaded.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -20,20 +20,20 @@
  public:
   explicit CacheInventory(RelayContext& context) : context_(context) {}
 
-  // Does nothing where engines cannot be asked.
+  // Does nothing if engines do not list their caches or the mechanism is disabled.
   void Start();
 
  private:
-  // How long this node has been the first in rank for a service.
+  // Since when this node has, or has not, been the first in rank for a service.
   struct Coordination {
     TimePoint since;
     bool is_first = false;
-    bool asked = false;
+    bool queried = false;
   };
 
   boost::asio::awaitable<void> Watch();
-  boost::asio::awaitable<void> AskWaiting();
-  boost::asio::awaitable<void> Ask(Backend engine);
+  boost::asio::awaitable<void> QueryQueued();
+  boost::asio::awaitable<void> Query(Backend engine);
   absl::StatusOr<std::vector<PromptPart>> PartsOf(
       const absl::StatusOr<HttpResponse>& response) const;
   void Check(TimePoint now);
@@ -42,9 +42,9 @@
   RelayContext& context_;
   TimePoint started_;
   std::map<std::string, Coordination> services_;
-  std::set<BackendKey> known_;  // asked, or new since this node became the coordinator
-  std::deque<Backend> waiting_;
-  int asking_ = 0;
+  std::set<BackendKey> seen_;  // queried, left out, or new since this node became coordinator
+  std::deque<Backend> queue_;
+  int queries_in_progress_ = 0;
   std::minstd_rand random_{std::random_device{}()};
 };
 
--- a/libs/relay/src/placement/cold_backend_log.h
+++ b/libs/relay/src/placement/cold_backend_log.h
@@ -1,5 +1,5 @@
-// Tells in the log which back ends the coordinator holds for cold, why and until when, and that
-// requests were refused because only cold ones were left. One thread.
+// Logs which back ends the coordinator considers cold, why and until when, and that requests were
+// refused because only metered back ends were left. Single-threaded.
 #pragma once
 
 #include <map>
@@ -14,25 +14,25 @@
 
 class ColdBackendLog {
  public:
-  // The cold back ends of `service` now: logs those that have become cold or warm.
+  // `cold`: all cold back ends of `service` at `now`. Logs those that have become cold or warm.
   void NoteCold(const std::string& service, const std::vector<ColdBackEnd>& cold, TimePoint now);
 
-  // This node grants nothing to cold back ends of `service` any more.
+  // Call when this node no longer grants requests to cold back ends of `service`.
   void Forget(const std::string& service) { services_.erase(service); }
 
-  // A request was refused; it may be tried again after `wait`.
+  // Counts and logs a refused request, which may be retried after `wait`.
   void NoteRefused(const std::string& service, Duration wait);
 
  private:
   using SpellsById = std::map<std::string, ColdSpell>;
 
-  // A zone that comes back has some dozens of back ends; more lines tell nothing new.
+  // A recovering zone has some dozens of back ends; further lines would add nothing.
   static constexpr double kChangesPerSecond = 20;
   static constexpr double kChangesAtOnce = 100;
 
   std::map<std::string, SpellsById> services_;
   LogRateLimit changes_{kChangesPerSecond, kChangesAtOnce};
-  LogRateLimit refusals_{1, 2};  // lines a second; the counter tells how many there were
+  LogRateLimit refusals_{1, 2};  // lines per second and at once; a counter has the total
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/placement/placement_message.h
+++ b/libs/relay/src/placement/placement_message.h
@@ -1,5 +1,5 @@
-// What a node asks a coordinator, what the coordinator answers, and what the node then tells of the
-// request. Plain structs.
+// Messages between a node and the coordinator of a service: the question where to place a request,
+// the answer, and the progress of the request.
 #pragma once
 
 #include <optional>
@@ -17,28 +17,28 @@
   QuestionId id = 0;
   RequestProfile profile;
   std::vector<BackendKey> tried;
-  std::vector<BackendKey> connected;  // back ends to which the node has an idle connection
-  // The newest that the node knows on back ends of the service.
+  std::vector<BackendKey> connected;  // back ends to which the asking node has an idle connection
+  // The latest rate limits of the service's back ends that the asking node knows.
   std::vector<BackendRateWord> rate_words;
-  // The same of the requests a second that brittle ones bear to turn away.
+  // The same for the rejections per second that brittle back ends can sustain.
   std::vector<BackendRateWord> brittle_words;
 };
 
 struct PlacementAnswer {
   QuestionId id = 0;
-  std::optional<PlacementGrant> grant;  // nothing: the coordinator knows no back end
-  // Where only metered back ends are left, and none may get the request now: the time after which
-  // it is worth to try again.
+  std::optional<PlacementGrant> grant;  // nullopt: the coordinator has no back end for the request
+  // Set if only metered back ends are left and none may get the request now: the time after which
+  // a retry makes sense.
   std::optional<Duration> metered_wait;
-  bool heard_rate_words = false;  // those of the question
+  bool heard_rate_words = false;  // the coordinator has processed those of the question
 };
 
-// First output has come, or the request has ended.
+// Reports the first output of a request, or its end.
 struct RequestProgress {
   QuestionId id = 0;
   bool ended = false;
-  std::optional<AttemptOutcome> outcome;  // where ended and known
-  StreamPauses pauses;                    // where ended
+  std::optional<AttemptOutcome> outcome;  // if ended; nullopt: unknown
+  StreamPauses pauses;                    // if ended
 };
 
 struct ProgressReport {
--- a/libs/relay/src/placement/placement_service.cc
+++ b/libs/relay/src/placement/placement_service.cc
@@ -15,20 +15,21 @@
 
 namespace asio = boost::asio;
 
-constexpr size_t kCoordinatorsAsked = 2;  // before this node places by itself
-// A question or its answer may be lost: it is sent again after the first of these.
-constexpr Duration kFirstPatience = milliseconds(15);
-constexpr Duration kSecondPatience = milliseconds(35);
-constexpr Duration kFirstSuspicion = milliseconds(300);
-constexpr Duration kLongestSuspicion = seconds(4);
-constexpr Duration kProgressDelay = milliseconds(5);  // progress of this time goes in one message
-constexpr size_t kMostConnected = 32;                 // back ends named in a question
-// Back ends that a question excludes, 4 bytes each. A choice of one beyond them is not adopted.
-constexpr size_t kMostExcluded = 128;
-// Rate words in a question, about 20 bytes each. A choice of a limited back end beyond them is not
-// adopted.
-constexpr size_t kMostRateWords = 32;
-constexpr size_t kMostProgress = 64;  // in one message
+constexpr size_t kMaxCoordinators = 2;  // asked before this node places by itself
+// A question or its answer may be lost: the question is sent again after the first time-out.
+constexpr Duration kFirstAnswerTimeout = milliseconds(15);
+constexpr Duration kSecondAnswerTimeout = milliseconds(35);
+constexpr Duration kInitialSuspicion = milliseconds(300);
+constexpr Duration kMaxSuspicion = seconds(4);
+constexpr Duration kProgressDelay = milliseconds(5);  // progress of this period is sent together
+constexpr size_t kMaxConnected = 32;                  // back ends named in a question
+// Excluded back ends in a question, 4 bytes each. A grant of an excluded back end beyond them is
+// not adopted.
+constexpr size_t kMaxExcluded = 128;
+// Rate limits in a question, about 20 bytes each. A grant of a rate-limited back end beyond them is
+// not adopted.
+constexpr size_t kMaxRateWords = 32;
+constexpr size_t kMaxProgressEntries = 64;  // in one message
 
 }  // namespace
 
@@ -48,11 +49,11 @@
 
 void PlacementService::Suspect(const std::string& host, TimePoint now) {
   Suspicion& suspicion = suspicions_[host];
-  // Questions that were under way together count once.
+  // Failures of simultaneous questions count once.
   if (now < suspicion.until) return;
-  Duration length = kFirstSuspicion;
-  for (int i = 0; i < suspicion.failures && length < kLongestSuspicion; ++i) length *= 2;
-  suspicion.until = now + std::min(length, kLongestSuspicion);
+  Duration length = kInitialSuspicion;
+  for (int i = 0; i < suspicion.failures && length < kMaxSuspicion; ++i) length *= 2;
+  suspicion.until = now + std::min(length, kMaxSuspicion);
   ++suspicion.failures;
   GlobalCounters().coordinator_losses_total.Add();
   Log(LogLevel::kWarning, "coordinator_lost",
@@ -67,7 +68,7 @@
   transport_.announce(host);
 }
 
-GrantRight PlacementService::RightOf(const std::string& service, TimePoint now) const {
+GrantRight PlacementService::GrantRightFor(const std::string& service, TimePoint now) const {
   if (!dispatcher_.MayBeMetered(service)) return {};
   return GrantRightOf(peers_.FleetOf(service, now));
 }
@@ -87,20 +88,20 @@
     GlobalCounters().placements_asked_total.Add();
     co_return result;
   }
-  // The coordinator knows best which back ends are metered.
-  if (!result.metered_wait.has_value()) result = PlaceHere(profile, tried);
+  // The coordinator knows best which back ends are metered: its refusal is final.
+  if (!result.metered_wait.has_value()) result = PlaceLocally(profile, tried);
   if (result.metered_wait.has_value())
     cold_backend_log_.NoteRefused(profile.service, *result.metered_wait);
   co_return result;
 }
 
-PlacementResult PlacementService::PlaceHere(const RequestProfile& profile,
-                                            const std::vector<BackendKey>& tried) {
+PlacementResult PlacementService::PlaceLocally(const RequestProfile& profile,
+                                               const std::vector<BackendKey>& tried) {
   GlobalCounters().placements_own_total.Add();
   const TimePoint now = Now();
-  const GrantRight right = RightOf(profile.service, now);
+  const GrantRight right = GrantRightFor(profile.service, now);
   PlacementResult result;
-  result.placement = dispatcher_.Place(profile, tried, now, pool_.Connected(kMostConnected), right);
+  result.placement = dispatcher_.Place(profile, tried, now, pool_.Connected(kMaxConnected), right);
   if (!result.placement.has_value()) {
     result.metered_wait =
         dispatcher_.MeteredWait(profile, dispatcher_.ExcludedFor(profile, tried, now), now, right);
@@ -110,11 +111,11 @@
   return result;
 }
 
-// Nothing when this node is to place the request itself.
+// Returns neither a placement nor a wait if this node must place the request itself.
 asio::awaitable<PlacementResult> PlacementService::PlaceByCoordinator(
     const RequestProfile& profile, const std::vector<BackendKey>& tried) {
   const std::vector<std::string> hosts =
-      peers_.RankCoordinators(profile.service, kCoordinatorsAsked, Now());
+      peers_.RankCoordinators(profile.service, kMaxCoordinators, Now());
   PlacementResult result;
   for (const std::string& host : hosts) {
     if (host.empty()) break;  // this node is the coordinator
@@ -124,7 +125,7 @@
     const PlacementQuestion question = MakeQuestion(profile, tried);
     const std::optional<PlacementAnswer> answer = co_await Ask(host, question);
     if (!answer.has_value()) continue;
-    result.placement = TakeAnswer(host, question, *answer, asked);
+    result.placement = AdoptAnswer(host, question, *answer, asked);
     result.metered_wait = answer->metered_wait;
     break;
   }
@@ -136,35 +137,35 @@
   PlacementQuestion question;
   question.id = next_question_++;
   question.profile = profile;
-  // A coordinator does not know from which back ends this node backs off.
+  // A coordinator does not know which back ends this node is backing off from.
   question.tried = dispatcher_.ExcludedFor(profile, tried, Now());
-  if (question.tried.size() > kMostExcluded) question.tried.resize(kMostExcluded);
-  question.connected = pool_.Connected(kMostConnected);
+  if (question.tried.size() > kMaxExcluded) question.tried.resize(kMaxExcluded);
+  question.connected = pool_.Connected(kMaxConnected);
   const BackendRegistry& registry = dispatcher_.Registry();
-  question.rate_words = registry.RateWordsOf(profile.service, kMostRateWords, Now());
-  question.brittle_words = registry.BrittleWordsOf(profile.service, kMostRateWords, Now());
+  question.rate_words = registry.RateWordsOf(profile.service, kMaxRateWords, Now());
+  question.brittle_words = registry.BrittleWordsOf(profile.service, kMaxRateWords, Now());
   return question;
 }
 
-std::optional<Placement> PlacementService::TakeAnswer(const std::string& host,
-                                                      const PlacementQuestion& question,
-                                                      const PlacementAnswer& answer,
-                                                      TimePoint asked) {
+std::optional<Placement> PlacementService::AdoptAnswer(const std::string& host,
+                                                       const PlacementQuestion& question,
+                                                       const PlacementAnswer& answer,
+                                                       TimePoint asked) {
   if (!answer.grant.has_value()) return std::nullopt;
   const BackendKey backend = answer.grant->backend;
   const auto is_on_it = [backend](const BackendRateWord& word) { return word.backend == backend; };
-  const bool was_told =
+  const bool was_reported =
       std::any_of(question.rate_words.begin(), question.rate_words.end(), is_on_it);
-  // Of a back end on which it was told nothing, the coordinator may not know what this node knows.
-  const TimePoint words_known = answer.heard_rate_words && was_told ? asked : TimePoint::min();
+  // The coordinator may not know the rate limit of a back end that the question did not report.
+  const TimePoint words_known = answer.heard_rate_words && was_reported ? asked : TimePoint::min();
   std::optional<Placement> placement =
       dispatcher_.Adopt(host, *answer.grant, question.profile, words_known, Now());
   if (placement.has_value()) {
     questions_[placement->ticket] = {host, answer.id};
     if (answer.grant->is_metered) placement->send_by = asked + kGrantHolds;
   } else {
-    // This node knows better: the back end is leaving or gone, or not known here yet.
-    Tell(host, {answer.id, true, std::nullopt, {}});
+    // This node has newer information: the back end is shutting down, gone, or not known here yet.
+    QueueProgress(host, {answer.id, true, std::nullopt, {}});
   }
   return placement;
 }
@@ -173,13 +174,13 @@
                                                                       PlacementQuestion question) {
   const QuestionId id = question.id;
   const Datagram datagram = std::move(question);
-  Waiting waiting{host, Timer(io_), std::nullopt};
-  waiting_[id] = &waiting;
-  for (const Duration patience : {kFirstPatience, kSecondPatience}) {
+  PendingQuestion waiting{host, Timer(io_), std::nullopt};
+  pending_questions_[id] = &waiting;
+  for (const Duration timeout : {kFirstAnswerTimeout, kSecondAnswerTimeout}) {
     transport_.send(host, datagram);
-    if (co_await WaitForAnswer(waiting, patience)) break;
+    if (co_await WaitForAnswer(waiting, timeout)) break;
   }
-  waiting_.erase(id);
+  pending_questions_.erase(id);
   if (waiting.answer.has_value()) {
     suspicions_.erase(host);
   } else {
@@ -188,16 +189,16 @@
   co_return waiting.answer;
 }
 
-asio::awaitable<bool> PlacementService::WaitForAnswer(Waiting& waiting, Duration patience) {
-  waiting.timer.expires_after(patience);
+asio::awaitable<bool> PlacementService::WaitForAnswer(PendingQuestion& waiting, Duration timeout) {
+  waiting.timer.expires_after(timeout);
   boost::system::error_code ignored;
   co_await waiting.timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   co_return waiting.answer.has_value();
 }
 
 void PlacementService::OnAnswer(const std::string& host, const PlacementAnswer& answer) {
-  const auto waiting = waiting_.find(answer.id);
-  if (waiting != waiting_.end() && waiting->second->host == host) {
+  const auto waiting = pending_questions_.find(answer.id);
+  if (waiting != pending_questions_.end() && waiting->second->host == host) {
     waiting->second->answer = answer;
     waiting->second->timer.cancel();
     return;
@@ -206,16 +207,17 @@
     return entry.second.id == answer.id && entry.second.host == host;
   };
   const bool is_known = std::any_of(questions_.begin(), questions_.end(), is_this);
-  // Too late: the request went elsewhere.
-  if (!is_known && answer.grant.has_value()) Tell(host, {answer.id, true, std::nullopt, {}});
+  // The answer is too late: the request was placed elsewhere. Release the grant.
+  if (!is_known && answer.grant.has_value())
+    QueueProgress(host, {answer.id, true, std::nullopt, {}});
 }
 
 void PlacementService::Output(PlacementTicket ticket, TimePoint now) {
   dispatcher_.Output(ticket, now);
   const auto question = questions_.find(ticket);
-  if (question == questions_.end() || question->second.told_output) return;
-  question->second.told_output = true;
-  Tell(question->second.host, {question->second.id, false, std::nullopt, {}});
+  if (question == questions_.end() || question->second.output_reported) return;
+  question->second.output_reported = true;
+  QueueProgress(question->second.host, {question->second.id, false, std::nullopt, {}});
 }
 
 void PlacementService::Finish(PlacementTicket ticket, AttemptOutcome outcome, TimePoint now) {
@@ -223,15 +225,15 @@
   dispatcher_.Finish(ticket, outcome, now);
   const auto question = questions_.find(ticket);
   if (question == questions_.end()) return;
-  Tell(question->second.host, {question->second.id, true, outcome, pauses});
+  QueueProgress(question->second.host, {question->second.id, true, outcome, pauses});
   questions_.erase(question);
 }
 
-void PlacementService::Tell(const std::string& host, const RequestProgress& progress) {
+void PlacementService::QueueProgress(const std::string& host, const RequestProgress& progress) {
   const bool is_first = progress_.empty();
   std::vector<RequestProgress>& entries = progress_[host].entries;
   entries.push_back(progress);
-  if (entries.size() >= kMostProgress) {
+  if (entries.size() >= kMaxProgressEntries) {
     FlushProgress();
     return;
   }
@@ -266,7 +268,7 @@
     return;
   }
   const Requester requester{host, peers_.ZoneOf(host), question.connected};
-  const GrantRight right = RightOf(question.profile.service, now);
+  const GrantRight right = GrantRightFor(question.profile.service, now);
   const std::optional<Placement> placement =
       dispatcher_.PlaceFor(requester, question.profile, question.tried, now, right);
   if (!placement.has_value()) {
--- a/libs/relay/src/placement/placement_service.h
+++ b/libs/relay/src/placement/placement_service.h
@@ -1,7 +1,7 @@
-// Places requests through the coordinator of their service, a node that follows all requests of
-// that service and so knows every back end's load to the moment. Any node may be the coordinator;
-// its state is soft. Where none answers, this node places by itself. Also answers other nodes'
-// questions. One thread.
+// Places requests through the coordinator of their service: a node that tracks all requests of the
+// service and so knows the current load of every back end. Any node can be the coordinator, and its
+// state can be lost without harm. If no coordinator answers, this node places requests by itself.
+// Also answers other nodes' questions. Single-threaded.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -24,94 +24,98 @@
 
 namespace cartsail {
 
-// Where a request goes.
+// The back end chosen for a request, or why there is none.
 struct PlacementResult {
-  std::optional<Placement> placement;  // nothing: no back end is left
-  // Only metered back ends are left, and none may get the request now: it is to be refused, and may
-  // be tried again after this time.
+  std::optional<Placement> placement;  // nullopt: no back end is left
+  // Set if only metered back ends are left and none may get the request now: the request must be
+  // refused, and may be retried after this time.
   std::optional<Duration> metered_wait;
 };
 
 class PlacementService {
  public:
-  // How messages reach the node at `host`.
+  // Sends messages to the node at `host`.
   struct Transport {
     std::function<void(const std::string& host, const Datagram& datagram)> send;
-    // Tells `host` of this node's load at once.
+    // Sends this node's load to `host` at once.
     std::function<void(const std::string& host)> announce;
   };
 
   PlacementService(boost::asio::io_context& io, Dispatcher& dispatcher, PeerTable& peers,
                    const UpstreamPool& pool);
 
-  // Without a transport this node places all requests itself.
+  // Without a transport, this node places all requests by itself.
   void SetTransport(Transport transport) { transport_ = std::move(transport); }
 
-  // As Dispatcher::Place(); may wait some milliseconds for the coordinator.
+  // Places a request as Dispatcher::Place() does. May wait some milliseconds for the coordinator.
   boost::asio::awaitable<PlacementResult> Place(const RequestProfile& profile,
                                                 const std::vector<BackendKey>& tried);
 
+  // Reports output of a placed request.
   void Output(PlacementTicket ticket, TimePoint now);
+  // Reports the end of the attempt at the chosen back end.
   void Finish(PlacementTicket ticket, AttemptOutcome outcome, TimePoint now);
 
+  // Handlers of messages from the node at `host`.
   void OnQuestion(const std::string& host, const PlacementQuestion& question, TimePoint now);
   void OnAnswer(const std::string& host, const PlacementAnswer& answer);
   void OnProgress(const std::string& host, const ProgressReport& report, TimePoint now);
 
-  // `host` tells its questions whose requests have not ended.
+  // `live`: all questions of `host` whose requests have not ended.
   void OnLiveQuestions(const std::string& host, const std::vector<QuestionId>& live, TimePoint now);
 
-  // This node's questions to `host` whose requests have not ended.
+  // Returns this node's questions to `host` whose requests have not ended.
   std::vector<QuestionId> LiveQuestions(const std::string& host) const;
 
-  // This node grants requests to cold back ends of `service`.
+  // True if this node may grant requests to cold back ends of `service`.
   bool GrantsToCold(const std::string& service, TimePoint now) const {
-    return RightOf(service, now).to_cold;
+    return GrantRightFor(service, now).to_cold;
   }
 
-  // To be called about twice a second.
+  // Call about twice per second.
   void Tick(TimePoint now);
 
-  // Requests of other nodes that this one follows.
+  // Number of other nodes' requests that this node tracks as coordinator.
   size_t Followed() const { return grants_.Size(); }
 
  private:
-  // A question under way.
-  struct Waiting {
+  // A question that waits for its answer.
+  struct PendingQuestion {
     std::string host;
-    Timer timer;  // cancelled by the answer
+    Timer timer;  // cancelled when the answer arrives
     std::optional<PlacementAnswer> answer;
   };
 
-  // A request that a coordinator placed.
+  // A running request that a coordinator placed.
   struct Question {
     std::string host;
     QuestionId id = 0;
-    bool told_output = false;
+    bool output_reported = false;
   };
 
+  // A coordinator that did not answer; it is not asked again before `until`.
   struct Suspicion {
     TimePoint until;
     int failures = 0;
   };
 
-  // The right to grant requests to cold back ends, which only services with a warm-up need.
-  GrantRight RightOf(const std::string& service, TimePoint now) const;
+  // This node's right to grant requests to metered back ends; empty if `service` cannot have any.
+  GrantRight GrantRightFor(const std::string& service, TimePoint now) const;
   void CountMetered(const Placement& placement) const;
-  PlacementResult PlaceHere(const RequestProfile& profile, const std::vector<BackendKey>& tried);
+  PlacementResult PlaceLocally(const RequestProfile& profile, const std::vector<BackendKey>& tried);
   boost::asio::awaitable<PlacementResult> PlaceByCoordinator(const RequestProfile& profile,
                                                              const std::vector<BackendKey>& tried);
   PlacementQuestion MakeQuestion(const RequestProfile& profile,
                                  const std::vector<BackendKey>& tried);
-  std::optional<Placement> TakeAnswer(const std::string& host, const PlacementQuestion& question,
-                                      const PlacementAnswer& answer, TimePoint asked);
+  std::optional<Placement> AdoptAnswer(const std::string& host, const PlacementQuestion& question,
+                                       const PlacementAnswer& answer, TimePoint asked);
   boost::asio::awaitable<std::optional<PlacementAnswer>> Ask(const std::string& host,
                                                              PlacementQuestion question);
-  boost::asio::awaitable<bool> WaitForAnswer(Waiting& waiting, Duration patience);
+  boost::asio::awaitable<bool> WaitForAnswer(PendingQuestion& waiting, Duration timeout);
   bool IsSuspected(const std::string& host, TimePoint now) const;
   void Suspect(const std::string& host, TimePoint now);
   void NoteCoordinator(const std::string& service, const std::string& host);
-  void Tell(const std::string& host, const RequestProgress& progress);
+  void QueueProgress(const std::string& host, const RequestProgress& progress);
   void FlushProgress();
 
   boost::asio::io_context& io_;
@@ -120,11 +124,11 @@
   const UpstreamPool& pool_;
   Transport transport_;
   GrantBook grants_;
-  std::map<QuestionId, Waiting*> waiting_;
+  std::map<QuestionId, PendingQuestion*> pending_questions_;
   std::unordered_map<PlacementTicket, Question> questions_;
   std::map<std::string, Suspicion> suspicions_;      // by host
-  std::map<std::string, std::string> coordinators_;  // host by service, as last used
-  std::map<std::string, ProgressReport> progress_;   // not sent yet, by host
+  std::map<std::string, std::string> coordinators_;  // last used host, by service
+  std::map<std::string, ProgressReport> progress_;   // not yet sent, by host
   Timer progress_timer_;
   ColdBackendLog cold_backend_log_;
   QuestionId next_question_;
--- a/libs/relay/src/placement/rate_notices.cc
+++ b/libs/relay/src/placement/rate_notices.cc
@@ -26,7 +26,6 @@
        {"source", source}});
 }
 
-// As NoteRate(), of the requests a second that a brittle back end bears to turn away.
 void NoteBrittle(Dispatcher& dispatcher, BackendKey backend, const RateWord& word,
                  const std::string& source) {
   const RateChange change = dispatcher.Registry().NoteBrittle(backend, word);
--- a/libs/relay/src/placement/rate_notices.h
+++ b/libs/relay/src/placement/rate_notices.h
@@ -1,4 +1,4 @@
-// Notes what back ends said of the rate that they take, and logs what changed by it.
+// Records the limits that back ends report and logs the changes.
 #pragma once
 
 #include <string>
@@ -7,9 +7,11 @@
 
 namespace cartsail {
 
-// `source`: the node that told it, or "answer".
+// The rate of rejections that a brittle back end can sustain. `source`: the host of the node that
+// reported it, or "answer" for an answer of the back end.
 void NoteBrittle(Dispatcher& dispatcher, BackendKey backend, const RateWord& word,
                  const std::string& source);
+// The rate of requests that a back end accepts; `source` as above.
 void NoteRate(Dispatcher& dispatcher, BackendKey backend, const RateWord& word,
               const std::string& source);
 
--- a/libs/relay/src/placement/warmup_prober.cc
+++ b/libs/relay/src/placement/warmup_prober.cc
@@ -21,11 +21,11 @@
 namespace asio = boost::asio;
 
 constexpr Duration kInterval = milliseconds(25);
-constexpr Duration kIdleInterval = milliseconds(200);  // while none is lost, as mostly
-// A zone that comes back has some dozens of back ends; a silent one keeps its place for kTimeout.
-constexpr size_t kMostAtOnce = 32;
+constexpr Duration kIdleInterval = milliseconds(200);  // while no back end is lost, the usual case
+// A recovering zone has some dozens of back ends; a silent one occupies a slot for kTimeout.
+constexpr size_t kMaxConcurrent = 32;
 constexpr Duration kTimeout = milliseconds(500);
-constexpr size_t kMostBytes = 64 << 10;
+constexpr size_t kMaxBytes = 64 << 10;
 constexpr int kOk = 200;
 
 }  // namespace
@@ -56,24 +56,26 @@
     timer.expires_after(context_.dispatcher.HasLostBackEnds() ? kInterval : kIdleInterval);
     boost::system::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-    if (!context_.draining && context_.routing.Table() != nullptr) AskDue(Now());
+    if (!context_.draining && context_.routing.Table() != nullptr) ProbeDue(Now());
   }
 }
 
-void WarmupProber::AskDue(TimePoint now) {
+void WarmupProber::ProbeDue(TimePoint now) {
   Dispatcher& dispatcher = context_.dispatcher;
   for (const std::string& service : dispatcher.ServicesWithWarmUp()) {
-    if (asking_ >= kMostAtOnce || !context_.placement.GrantsToCold(service, now)) continue;
+    if (probes_in_progress_ >= kMaxConcurrent || !context_.placement.GrantsToCold(service, now))
+      continue;
     const ServiceRule* rule = context_.routing.Table()->FindService(service);
     if (rule == nullptr) continue;
-    for (Backend& backend : dispatcher.TakeWarmthQuestions(service, kMostAtOnce - asking_, now)) {
-      ++asking_;
-      asio::co_spawn(context_.io, Ask(std::move(backend), rule->health_path), asio::detached);
+    for (Backend& backend :
+         dispatcher.TakeWarmthQuestions(service, kMaxConcurrent - probes_in_progress_, now)) {
+      ++probes_in_progress_;
+      asio::co_spawn(context_.io, Probe(std::move(backend), rule->health_path), asio::detached);
     }
   }
 }
 
-asio::awaitable<void> WarmupProber::Ask(Backend backend, std::string path) {
+asio::awaitable<void> WarmupProber::Probe(Backend backend, std::string path) {
   GlobalCounters().warmth_questions_total.Add();
   HttpRequest request;
   request.method = "GET";
@@ -82,8 +84,8 @@
   (void)ParseEndpoint(backend.address, &endpoint);
   const TimePoint asked = Now();
   const absl::StatusOr<HttpResponse> response =
-      co_await Fetch(context_.io.get_executor(), endpoint, request, kTimeout, kMostBytes);
-  --asking_;
+      co_await Fetch(context_.io.get_executor(), endpoint, request, kTimeout, kMaxBytes);
+  --probes_in_progress_;
   HealthAnswer answer;
   if (response.ok()) {
     NoteAnswer(context_, backend, {response->status, response->headers, asked});
@@ -102,7 +104,7 @@
 
 void WarmupProber::NoteHealth(const Backend& backend, const HealthAnswer& answer, TimePoint asked) {
   Dispatcher& dispatcher = context_.dispatcher;
-  // As by a request that another one turned away: the process that had this name has ended.
+  // As when another instance rejects a request: the process with this id has ended.
   if (answer.is_of_another) dispatcher.Registry().MarkLeaving(backend.key);
   if (!answer.cold_left.has_value()) return;
   if (dispatcher.NoteWarmth(backend.key, {*answer.cold_left, asked}, Now())) {
--- a/libs/relay/src/placement/warmup_prober.h
+++ b/libs/relay/src/placement/warmup_prober.h
@@ -1,6 +1,6 @@
-// Asks back ends that were lost how long they stay cold, at the node that grants requests to cold
-// ones. While one is held for cold most requests go elsewhere, so that none of them may tell for
-// seconds that it never started again. One thread.
+// Probes the health path of lost back ends for their remaining warm-up time, on the node that
+// grants requests to cold back ends. Most requests avoid a back end that is considered cold, so
+// without probes seconds may pass before an answer shows that it never restarted. Single-threaded.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,14 +13,15 @@
 
 namespace cartsail {
 
-// What the answer at the health path of the back end `id` says.
+// The content of an answer at a back end's health path.
 struct HealthAnswer {
-  bool is_of_another = false;  // one that has the address now
-  // How long it stays cold. Nothing when it turned the question away like a request, or when the
-  // time can't be read.
+  bool is_of_another = false;  // another back end has taken over the address
+  // The remaining warm-up time. nullopt: the back end rejected the probe like a request, the time
+  // is not readable, or the answer does not come from this back end.
   std::optional<Duration> cold_left;
 };
 
+// Parses an answer at the health path of the back end `id`.
 HealthAnswer ParseHealthAnswer(const HttpResponse& response, std::string_view id,
                                const WireNames& names);
 
@@ -32,17 +33,17 @@
   void Start();
 
  private:
-  // A zone that comes back has some dozens of back ends.
+  // A recovering zone has some dozens of back ends.
   static constexpr double kLinesPerSecond = 20;
   static constexpr double kLinesAtOnce = 100;
 
   boost::asio::awaitable<void> Watch();
-  boost::asio::awaitable<void> Ask(Backend backend, std::string path);
-  void AskDue(TimePoint now);
+  boost::asio::awaitable<void> Probe(Backend backend, std::string path);
+  void ProbeDue(TimePoint now);
   void NoteHealth(const Backend& backend, const HealthAnswer& answer, TimePoint asked);
 
   RelayContext& context_;
-  size_t asking_ = 0;
+  size_t probes_in_progress_ = 0;
   LogRateLimit lines_{kLinesPerSecond, kLinesAtOnce};
 };
 
