--- a/libs/relay/src/request/admission.cc
+++ b/libs/relay/src/request/admission.cc
@@ -7,9 +7,9 @@
 namespace cartsail {
 namespace {
 
-constexpr Duration kUnknownRetryAfter = milliseconds(250);
-constexpr int64_t kTenantTiers = 3;  // that are told apart within one tier of routes
-constexpr std::string_view kBearer = "Bearer ";
+constexpr Duration kRetryAfterNotReady = milliseconds(250);
+constexpr int64_t kTenantTiers = 3;  // tenant tiers distinguished within one route tier
+constexpr std::string_view kBearerPrefix = "Bearer ";
 
 AdmissionResult Refuse(ErrorKind kind, Duration retry_after = {}) {
   AdmissionResult result;
@@ -17,10 +17,10 @@
   return result;
 }
 
-// What this node doesn't know may be in a newer document that it has not heard of.
+// A route or key that is unknown here may be in a newer document that this node has not received.
 AdmissionResult RefuseUnknown(ErrorKind kind, const RoutingState& state, Duration trusted_for,
                               TimePoint now) {
-  if (!state.IsFresh(now, trusted_for)) return Refuse(ErrorKind::kNotReady, kUnknownRetryAfter);
+  if (!state.IsFresh(now, trusted_for)) return Refuse(ErrorKind::kNotReady, kRetryAfterNotReady);
   return Refuse(kind);
 }
 
@@ -29,17 +29,18 @@
 }
 
 std::string_view BearerKey(std::string_view authorization) {
-  if (!StartsWithIgnoreCase(authorization, kBearer)) return {};
-  return Trimmed(authorization.substr(kBearer.size()));
+  if (!StartsWithIgnoreCase(authorization, kBearerPrefix)) return {};
+  return Trimmed(authorization.substr(kBearerPrefix.size()));
 }
 
-// The route's tier goes first; among equal ones the tenant's decides (docs/QUESTIONS.md).
+// The route's tier takes precedence; the tenant's tier orders requests of equal route tiers
+// (docs/QUESTIONS.md).
 int64_t CombinedTier(const TenantRule& tenant, const RouteRule& route) {
   if (!tenant.tier.has_value()) return route.tier;
   return route.tier * kTenantTiers + std::min(*tenant.tier, kTenantTiers - 1);
 }
 
-// What the route and the tenant allow together; `tenant` may be nullptr.
+// The intersection of what the route and the tenant allow; `tenant` may be nullptr.
 Residency CombinedResidency(const RouteRule& route, const TenantRule* tenant) {
   return tenant == nullptr ? route.residency : Intersection(route.residency, tenant->residency);
 }
@@ -76,7 +77,7 @@
 
 AdmissionResult Admit(const RequestHead& head, const RoutingState& state, const WireFormat& format,
                       Duration trusted_for, TimePoint now) {
-  if (state.Table() == nullptr) return Refuse(ErrorKind::kNotReady, kUnknownRetryAfter);
+  if (state.Table() == nullptr) return Refuse(ErrorKind::kNotReady, kRetryAfterNotReady);
   const RouteTable& table = *state.Table();
   const RouteRule* route = table.FindRoute(head.host, PathOf(head.target));
   if (route == nullptr) return RefuseUnknown(ErrorKind::kUnknownPath, state, trusted_for, now);
@@ -102,15 +103,16 @@
   }
 
   RequestProfile& profile = admitted.profile;
-  // A stream goes on at the service that began it.
+  // A resumed stream goes to the service that started it.
   profile.service = PickService(*route, head.resumes.empty() ? head.request_id : head.resumes);
   profile.tier = admitted.tier;
   profile.first_output_goal = route->first_output_goal;
   profile.longest_pause = route->longest_pause;
   profile.residency = CombinedResidency(*route, tenant);
   if (AllowsNothing(profile.residency)) {
-    // Only another document can change that: one that is written already is known here by then. A
-    // status other than 503 would not tell callers that the request has not run and may come again.
+    // Only a newer document can change this, and one that is already written is known here within
+    // `trusted_for`. A status other than 503 would not tell callers that the request has not run
+    // and may be retried.
     result.refusal = Refusal{ErrorKind::kNoBackend, trusted_for};
     return result;
   }
--- a/libs/relay/src/request/answer_notices.cc
+++ b/libs/relay/src/request/answer_notices.cc
@@ -18,13 +18,13 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 
-// Requests a second; a back end that names more is as good as unbounded.
-constexpr double kMostRate = 1e6;
+// Requests per second. A larger limit is as good as none and is reduced to this.
+constexpr double kMaxRate = 1e6;
 
-bool TurnsAway(int status) { return status == kUnavailable || status == kTooManyRequests; }
+bool IsRejection(int status) { return status == kUnavailable || status == kTooManyRequests; }
 
-std::optional<RateWord> WordIn(const NoticedAnswer& answer, const std::string& header,
-                               const WireNames& names) {
+std::optional<RateWord> ParseRateHeader(const NoticedAnswer& answer, const std::string& header,
+                                        const WireNames& names) {
   if (answer.status == kMisdirected) return std::nullopt;
   RateWord word;
   word.asked = answer.asked;
@@ -40,7 +40,7 @@
     Log(LogLevel::kWarning, "rate_unreadable", {{"header", header}, {"value", std::string(named)}});
     return std::nullopt;
   }
-  word.per_s = std::min(per_s, kMostRate);
+  word.per_s = std::min(per_s, kMaxRate);
   return word;
 }
 
@@ -51,17 +51,17 @@
   if (status == kMisdirected) return notice;
   notice.leaving = !FindHeader(headers, names.leaving).empty();
   const std::string_view retry_after = FindHeader(headers, "Retry-After");
-  if (!TurnsAway(status) || retry_after.empty()) return notice;
+  if (!IsRejection(status) || retry_after.empty()) return notice;
   notice.backoff = ParseRetryAfter(retry_after, FindHeader(headers, "Date"));
   return notice;
 }
 
 std::optional<RateWord> ParseRateLimit(const NoticedAnswer& answer, const WireNames& names) {
-  return WordIn(answer, names.rate_limit, names);
+  return ParseRateHeader(answer, names.rate_limit, names);
 }
 
 std::optional<RateWord> ParseBrittleLimit(const NoticedAnswer& answer, const WireNames& names) {
-  return WordIn(answer, names.brittle, names);
+  return ParseRateHeader(answer, names.brittle, names);
 }
 
 void NoteAnswer(RelayContext& context, const Backend& backend, const NoticedAnswer& answer) {
--- a/libs/relay/src/request/answer_notices.h
+++ b/libs/relay/src/request/answer_notices.h
@@ -1,4 +1,5 @@
-// Reads what back ends say of themselves in answers, and notes it for all ways to a back end.
+// Reads what back ends report about themselves in the headers of their answers and records it for
+// the placement of all requests.
 #pragma once
 
 #include <optional>
@@ -8,26 +9,26 @@
 
 namespace cartsail {
 
-// The head of an answer of a back end.
+// The head of a back end's answer.
 struct NoticedAnswer {
   int status = 0;
   const HttpHeaders& headers;
-  TimePoint asked{};  // when the request was sent that it answers; long past: unknown
+  TimePoint asked{};  // when the answered request was sent; the clock's epoch: unknown
 };
 
-// Of an answer with this status and these headers, without the time. An answer by another process
-// than the one that was meant (421) says nothing of that one.
+// Returns the back-off and the leaving flag that an answer reports; `told` is left unset. An answer
+// with status 421 comes from another process than the addressed one and reports nothing about it.
 BackendNotice ParseNotice(int status, const HttpHeaders& headers, const WireNames& names);
 
-// What the answer says of the rate that its back end takes, without the time at which it was read.
-// Nothing: it says nothing of it. Only an answer of a run, which carries a signature, says that
-// there is no bound by not naming one.
+// Returns the rate limit that the answer reports, in requests per second; `read` is left unset.
+// nullopt: the answer does not tell. A missing header means "no limit" only in the answer to a
+// request that was run, which carries a signature.
 std::optional<RateWord> ParseRateLimit(const NoticedAnswer& answer, const WireNames& names);
 
-// The same of the requests a second that a brittle back end bears to turn away.
+// The same for the rate of rejections that a brittle back end can sustain, in requests per second.
 std::optional<RateWord> ParseBrittleLimit(const NoticedAnswer& answer, const WireNames& names);
 
-// To be called for the head of every answer of `backend`, as soon as it is read.
+// Call for the head of every answer of `backend`, as soon as it is read.
 void NoteAnswer(RelayContext& context, const Backend& backend, const NoticedAnswer& answer);
 
 }  // namespace cartsail
--- a/libs/relay/src/request/buffered_body.h
+++ b/libs/relay/src/request/buffered_body.h
@@ -1,5 +1,5 @@
-// The beginning of an answer, kept until all of it has come, so that another back end may still
-// take its place. It counts among what the node holds. One thread.
+// Buffers the beginning of an answer until the answer is complete, so that the request can still be
+// retried at another back end. Counts against the node's MemoryBudget. Single-threaded.
 #pragma once
 
 #include <algorithm>
@@ -16,35 +16,37 @@
 
 class BufferedBody {
  public:
-  explicit BufferedBody(std::shared_ptr<RequestMemory> held) : held_(std::move(held)) {}
-  ~BufferedBody() { held_->Free(reserved_); }
+  explicit BufferedBody(std::shared_ptr<RequestMemory> memory) : memory_(std::move(memory)) {}
+  ~BufferedBody() { memory_->Free(reserved_); }
   BufferedBody(const BufferedBody&) = delete;
   BufferedBody& operator=(const BufferedBody&) = delete;
 
-  // Keeps the piece. False when no more is to be kept: there is no room for it, or it is large.
+  // Stores `piece`. Returns false when buffering must stop: the memory budget is short, or the body
+  // exceeds kMaxBytes.
   bool Append(std::string_view piece, TimePoint now) {
     bytes_.Append(piece);
     const auto bytes = static_cast<int64_t>(piece.size());
-    if (held_->IsFull(now) || !held_->ReserveMore(bytes, now)) return false;
+    if (memory_->IsFull(now) || !memory_->ReserveMore(bytes, now)) return false;
     reserved_ += bytes;
-    return bytes_.Size() <= kMostBytes;
+    return bytes_.Size() <= kMaxBytes;
   }
 
   const ByteBlocks& Bytes() const { return bytes_; }
 
-  // The first block, to be passed on; there has to be one.
+  // Removes and returns the first block and frees its memory. The body must not be empty.
   std::string TakeFirst() {
     std::string first = bytes_.TakeFirst();
     const int64_t freed = std::min(reserved_, static_cast<int64_t>(first.size()));
-    held_->Free(freed);
+    memory_->Free(freed);
     reserved_ -= freed;
     return first;
   }
 
  private:
-  static constexpr size_t kMostBytes = size_t{256} << 10;  // larger answers are passed on in pieces
+  // Larger answers are forwarded in pieces.
+  static constexpr size_t kMaxBytes = size_t{256} << 10;
 
-  std::shared_ptr<RequestMemory> held_;
+  std::shared_ptr<RequestMemory> memory_;
   ByteBlocks bytes_;
   int64_t reserved_ = 0;
 };
--- a/libs/relay/src/request/byte_blocks.h
+++ b/libs/relay/src/request/byte_blocks.h
@@ -1,5 +1,5 @@
-// Bytes in the order in which they came, in blocks of bounded size: one string of all would take up
-// to twice as much memory as it grows, and leave gaps that nothing else fits.
+// A byte queue in blocks of bounded size. A single string would take up to twice the memory while
+// it grows, and would fragment the heap.
 #pragma once
 
 #include <cstddef>
@@ -20,7 +20,7 @@
       if (blocks_.empty() || blocks_.back().size() == kMaxBlockBytes) blocks_.emplace_back();
       std::string& last = blocks_.back();
       const std::string_view piece = bytes.substr(0, kMaxBlockBytes - last.size());
-      // One that gets more than a few bytes soon gets all that it can hold.
+      // A block that is appended to again is likely to fill up: reserve its full size at once.
       if (last.capacity() < last.size() + piece.size() && !last.empty()) {
         last.reserve(kMaxBlockBytes);
       }
@@ -29,7 +29,7 @@
     }
   }
 
-  // The first block; there has to be one.
+  // Removes and returns the first block. The queue must not be empty.
   std::string TakeFirst() {
     std::string first = std::move(blocks_.front());
     blocks_.pop_front();
--- a/libs/relay/src/request/caller_connection.cc
+++ b/libs/relay/src/request/caller_connection.cc
@@ -22,11 +22,11 @@
 using asio::ip::tcp;
 
 constexpr size_t kReadBytes = 1 << 13;
-// Otherwise the kernel holds up to some megabytes for each caller that does not read.
+// By default the kernel buffers up to some megabytes for each caller that does not read.
 constexpr int kSendBufferBytes = 1 << 16;
 constexpr Duration kBodyTimeout = seconds(10);
 constexpr Duration kWriteTimeout = seconds(20);
-constexpr Duration kGentleCloseTime = milliseconds(500);
+constexpr Duration kLingerTimeout = milliseconds(500);
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
 std::optional<ErrorKind> FaultOf(const beast::error_code& error) {
@@ -44,7 +44,7 @@
   return std::nullopt;
 }
 
-ReadRequestResult Ended(beast::error_code error) {
+ReadRequestResult EndedBy(beast::error_code error) {
   ReadRequestResult result;
   result.fault = FaultOf(error);
   return result;
@@ -99,7 +99,7 @@
   co_await http::async_read_header(stream_, buffer_, parser,
                                    asio::redirect_error(asio::use_awaitable, error));
   StopReadTimer();
-  if (error) co_return Ended(read_timed_out_ ? beast::error::timeout : error);
+  if (error) co_return EndedBy(read_timed_out_ ? beast::error::timeout : error);
   const uint64_t body_bytes =
       parser.chunked() ? limits.max_body_bytes : parser.content_length().value_or(0);
   if (!has_room(static_cast<int64_t>(body_bytes))) {
@@ -115,7 +115,7 @@
     co_await http::async_read(stream_, buffer_, parser,
                               asio::redirect_error(asio::use_awaitable, error));
     StopReadTimer();
-    if (error) co_return Ended(read_timed_out_ ? beast::error::timeout : error);
+    if (error) co_return EndedBy(read_timed_out_ ? beast::error::timeout : error);
   }
   result.request = ToCallerRequest(parser.release());
   co_return result;
@@ -174,7 +174,7 @@
         const ssize_t received = recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
         const bool still_there =
             received > 0 || (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
-        if (still_there) return;  // bytes of a next request: it waits its turn
+        if (still_there) return;  // bytes of the next request, read later
         self->gone_ = true;
         const std::function<void()> gone = std::move(self->on_gone_);
         self->on_gone_ = nullptr;
@@ -192,7 +192,7 @@
 asio::awaitable<void> CallerConnection::CloseGracefully() {
   beast::error_code error;
   stream_.socket().shutdown(tcp::socket::shutdown_send, error);
-  stream_.expires_after(kGentleCloseTime);
+  stream_.expires_after(kLingerTimeout);
   while (!error) {
     buffer_.clear();
     const auto space = buffer_.prepare(kReadBytes);
--- a/libs/relay/src/request/caller_connection.h
+++ b/libs/relay/src/request/caller_connection.h
@@ -1,5 +1,5 @@
-// One connection of a caller: reads its requests one after the other, writes the answers, tells
-// when the caller goes.
+// One connection from a caller: reads requests one after the other, writes the answers, and reports
+// when the caller disconnects.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -34,36 +34,39 @@
 
 struct ReadRequestResult {
   std::optional<CallerRequest> request;
-  std::optional<ErrorKind> fault;  // to be answered, then the connection closes; else it is over
+  // Error to answer before the connection closes. Neither this nor a request: nothing to answer.
+  std::optional<ErrorKind> fault;
 };
 
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
  public:
   explicit CallerConnection(boost::asio::ip::tcp::socket socket);
 
-  // Asks `has_room` for the bytes of a request's body before it is read.
+  // Calls `has_room` with the size of the body, or the size limit of a chunked body, before reading
+  // it; on false the result is the fault kOverloaded.
   boost::asio::awaitable<ReadRequestResult> ReadRequest(
       RequestLimits limits, const std::function<bool(int64_t body_bytes)>& has_room);
 
-  // False when the caller has gone or takes nothing for long.
+  // Returns false if the caller has disconnected or the write timed out.
   boost::asio::awaitable<bool> Write(std::string_view bytes);
 
-  // Waits until the caller takes some bytes; returns how many, 0 when it has gone or takes nothing
-  // for long.
+  // Waits until the connection accepts some bytes and returns how many; 0 if the caller has
+  // disconnected or the write timed out.
   boost::asio::awaitable<size_t> WriteSome(std::string_view bytes);
 
-  // What the caller's connection takes without waiting, in bytes; nothing when the caller has gone.
+  // Writes without waiting and returns the number of bytes accepted; nullopt if the caller has
+  // disconnected.
   std::optional<size_t> WriteAtOnce(std::string_view bytes);
 
-  // Calls `on_gone` once when the caller closes before StopWatch().
+  // Calls `on_gone` once if the caller closes the connection before StopWatch().
   void WatchForClose(std::function<void()> on_gone);
   void StopWatch();
 
-  // True between two requests, while no byte of the next one is here.
+  // True between two requests, until the first byte of the next one arrives.
   bool IsIdle() const { return idle_; }
 
-  // Ends the connection after an answer to a request that was not read to its end: what still
-  // comes is read for a moment, so that the answer is not lost in a reset.
+  // Closes the connection after an answer to a request that was not fully read. Incoming data is
+  // read and discarded for a short time first: a reset could destroy the answer.
   boost::asio::awaitable<void> CloseGracefully();
 
   void Close();
@@ -75,10 +78,10 @@
   void StopReadTimer();
 
   TimedStream stream_;
-  Timer read_timer_;  // ends a read and leaves the connection open for an answer
+  Timer read_timer_;  // cancels a read and leaves the connection open for an answer
   boost::beast::flat_buffer buffer_;
   std::function<void()> on_gone_;
-  uint64_t watch_ = 0;  // number of the watch in force
+  uint64_t watch_ = 0;  // number of the current watch
   bool idle_ = false;
   bool gone_ = false;
   bool read_timed_out_ = false;
--- a/libs/relay/src/request/event_splitter.cc
+++ b/libs/relay/src/request/event_splitter.cc
@@ -7,11 +7,11 @@
 std::string EventSplitter::Feed(std::string bytes) {
   const size_t whole = scanner_.Scan(bytes);
   if (passing_ == Passing::kAsItComes) {
-    passed_part_ = scanner_.IsInsideEvent();
+    forwarded_partial_event_ = scanner_.IsInsideEvent();
     return bytes;
   }
   if (whole == 0) return Hold(bytes);
-  passed_part_ = false;
+  forwarded_partial_event_ = false;
   if (whole == bytes.size() && held_.empty()) return bytes;
   std::string passed = std::exchange(held_, {});
   passed.append(bytes, 0, whole);
@@ -21,8 +21,8 @@
 
 std::string EventSplitter::Hold(std::string_view bytes) {
   held_ += bytes;
-  if (!passed_part_ && held_.size() <= kMaxHeldBytes) return {};
-  passed_part_ = passed_part_ || !held_.empty();
+  if (!forwarded_partial_event_ && held_.size() <= kMaxHeldBytes) return {};
+  forwarded_partial_event_ = forwarded_partial_event_ || !held_.empty();
   return std::exchange(held_, {});
 }
 
--- a/libs/relay/src/request/event_splitter.h
+++ b/libs/relay/src/request/event_splitter.h
@@ -1,5 +1,6 @@
-// What of a stream's bytes may be passed on. Of a stream that can go on at another back end only
-// whole events are, so that nothing of another back end comes inside an event. Pure.
+// Decides which bytes of an event stream may be forwarded. For a stream that can continue at
+// another back end these are whole events only, so that bytes of another back end never end up
+// inside an event. No I/O.
 #pragma once
 
 #include <string>
@@ -16,17 +17,19 @@
     kWholeEvents,
   };
 
-  // Larger events are passed on as they come: memory for many streams stays bounded.
+  // Larger events are forwarded as they arrive, which bounds the memory of many streams.
   static constexpr size_t kMaxHeldBytes = size_t{64} << 10;
 
   explicit EventSplitter(Passing passing) : passing_(passing) {}
 
-  // Takes bytes and returns those that may be passed on, unchanged.
+  // Takes the next bytes of the stream and returns those that may be forwarded now, unchanged.
   std::string Feed(std::string bytes);
 
-  // Only the back end that sent what was passed on can continue it: part of an event was, or a
-  // whole one without an id that it could be asked for.
-  bool IsBoundToBackend() const { return passed_part_ || scanner_.HasEventBeyondLastId(); }
+  // True if only the back end that sent the forwarded bytes can continue the stream: part of an
+  // event was forwarded, or a whole event that comes after the last event id.
+  bool IsBoundToBackend() const {
+    return forwarded_partial_event_ || scanner_.HasEventBeyondLastId();
+  }
 
   const EventScanner& Scanner() const { return scanner_; }
 
@@ -35,8 +38,8 @@
 
   Passing passing_;
   EventScanner scanner_;
-  std::string held_;  // of the event under way
-  bool passed_part_ = false;
+  std::string held_;  // start of an incomplete event, not forwarded yet
+  bool forwarded_partial_event_ = false;
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/request/exchange.cc
+++ b/libs/relay/src/request/exchange.cc
@@ -21,22 +21,24 @@
 
 namespace asio = boost::asio;
 
-constexpr Duration kLeastTimeForAttempt = milliseconds(20);
+constexpr Duration kMinTimeForAttempt = milliseconds(20);
 constexpr Duration kRetryAfterNotRun = milliseconds(100);
-// The node that began the stream may be about to tell, or the store to come back.
+// The node that started the stream may be about to announce it, or the store to come back.
 constexpr Duration kRetryAfterUnknownStream = milliseconds(250);
-// A process of that version may start again; a new stream may begin at once.
+// A process of that version may start again; a new stream could start at once.
 constexpr Duration kRetryAfterVersionGone = milliseconds(1000);
-// A node that starts has its catalog after 0.05 to 0.3 s. Callers that come before wait for it: a
-// refusal would cost them one of their few retries.
-constexpr Duration kCatalogPatience = milliseconds(300);
-constexpr Duration kCatalogPoll = milliseconds(10);
-constexpr Duration kLeastFirstPatience = milliseconds(300);
-constexpr Duration kLeastPausePatience = milliseconds(900);
-// What came on this node's own path within that time shows that there is one.
-constexpr Duration kHeardHolds = milliseconds(500);
-constexpr int kPatienceGoals = 3;   // goals of the first output that a repeatable request waits
-constexpr int kPatiencePauses = 6;  // longest pauses that a resumable stream waits
+// A starting node has its catalog after 0.05 to 0.3 s. Requests that arrive earlier wait for it: a
+// refusal would cost the caller one of its few retries.
+constexpr Duration kCatalogWaitLimit = milliseconds(300);
+constexpr Duration kCatalogPollInterval = milliseconds(10);
+constexpr Duration kMinFirstOutputTimeout = milliseconds(300);
+constexpr Duration kMinPauseTimeout = milliseconds(900);
+// Data received on this node's own path within this time proves that the path works.
+constexpr Duration kPathEvidenceAge = milliseconds(500);
+// A retryable request waits for its first output for this multiple of goal plus expected time.
+constexpr int kFirstOutputGoalFactor = 3;
+// Multiple of the route's longest pause for which a resumable stream waits.
+constexpr int kPauseFactor = 6;
 
 std::string_view ReasonOf(int status) {
   switch (status) {
@@ -65,14 +67,14 @@
   }
 }
 
-// What a node hears of a back end over another one may be the doing of that one's path. That it
-// ended is told by the other node.
-AttemptOutcome OutcomeOver(AttemptOutcome outcome) {
+// A failure seen through another node may be caused by that node's path to the back end. Only kCut
+// is kept: there the other node has reported that the back end's process ended.
+AttemptOutcome OutcomeViaPeer(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::kCut ? outcome : AttemptOutcome::kPathLost;
 }
 
-// The connection was of no use: the back end's doing, or that of the path to it.
-bool IsOfPathPerhaps(AttemptOutcome outcome) {
+// True if either the back end or the network path to it may have caused the failure.
+bool MayBePathFailure(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::kCut || outcome == AttemptOutcome::kSilent ||
          outcome == AttemptOutcome::kTimedOut;
 }
@@ -80,20 +82,20 @@
 }  // namespace
 
 Exchange::Exchange(RelayContext& context, std::shared_ptr<CallerConnection> caller,
-                   std::shared_ptr<RequestMemory> held, CallerRequest request)
+                   std::shared_ptr<RequestMemory> memory, CallerRequest request)
     : context_(context),
       caller_(std::move(caller)),
-      held_(std::move(held)),
-      writer_(std::make_shared<AnswerWriter>(context.io, caller_, held_)),
+      memory_(std::move(memory)),
+      writer_(std::make_shared<AnswerWriter>(context.io, caller_, memory_)),
       request_(std::move(request)) {
   keep_alive_ = request_.keep_alive && !request_.http_1_0;
 }
 
 asio::awaitable<void> Exchange::WaitForCatalog() {
-  const TimePoint last = request_.received + kCatalogPatience;
+  const TimePoint last = request_.received + kCatalogWaitLimit;
   Timer timer(context_.io);
   while (!context_.HasCatalog() && Now() < last) {
-    timer.expires_after(kCatalogPoll);
+    timer.expires_after(kCatalogPollInterval);
     boost::system::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
@@ -140,9 +142,9 @@
     self->caller_gone_ = true;
     if (self->upstream_ != nullptr) self->upstream_->Close();
   });
-  held_->SetAbortHandler([weak = weak_from_this()](int64_t bytes, Duration left_alone) {
+  memory_->SetAbortHandler([weak = weak_from_this()](int64_t bytes, Duration stalled_for) {
     const std::shared_ptr<Exchange> self = weak.lock();
-    if (self != nullptr) self->AbortForMemory(bytes, left_alone);
+    if (self != nullptr) self->AbortForMemory(bytes, stalled_for);
   });
   const auto on_quarantined = [weak = weak_from_this()] {
     const std::shared_ptr<Exchange> self = weak.lock();
@@ -156,7 +158,7 @@
   co_return keep && !caller_gone_;
 }
 
-bool Exchange::MayRepeat() const {
+bool Exchange::IsRetryable() const {
   const RouteRule& route = *admitted_.route;
   if (route.kind == RequestKind::kRepeatable) return true;
   return route.kind == RequestKind::kStream && route.resumable;
@@ -166,13 +168,13 @@
   context_.retries.NoteRequest(admitted_.profile.service, request_.received);
   AttemptOutcome outcome = AttemptOutcome::kNotSent;
   follows_versions_ = FollowsVersions();
-  const bool takes_up = !last_event_id_.empty() || !resumes_.empty();
-  if (follows_versions_ && takes_up && !co_await FindVersion()) {
+  const bool is_resumption = !last_event_id_.empty() || !resumes_.empty();
+  if (follows_versions_ && is_resumption && !co_await LookUpVersion()) {
     GlobalCounters().stream_take_ups_unknown_total.Add();
     co_return co_await AnswerRefusal(ErrorKind::kStreamUnknown, kRetryAfterUnknownStream);
   }
   while (true) {
-    FollowDocument();
+    RefreshResidency();
     if (IsQuarantined()) break;
     follows_versions_ = FollowsVersions();
     admitted_.profile.version = stream_version_;
@@ -190,38 +192,40 @@
     placed_by_ = placement->placed_by;
     outcome = co_await Attempt(*placement);
     LogAttempt(*placement, outcome);
-    if (IsOfPathPerhaps(outcome) && over_.empty()) {
-      asio::co_spawn(context_.io, ExplainAttempt(shared_from_this(), *placement, outcome),
+    if (MayBePathFailure(outcome) && via_node_.empty()) {
+      asio::co_spawn(context_.io, DiagnoseAttempt(shared_from_this(), *placement, outcome),
                      asio::detached);
     } else {
-      FinishAttempt(*placement, IsOfPathPerhaps(outcome) ? OutcomeOver(outcome) : outcome, Now());
+      FinishAttempt(*placement, MayBePathFailure(outcome) ? OutcomeViaPeer(outcome) : outcome,
+                    Now());
     }
     if (caller_gone_) break;
     if (outcome == AttemptOutcome::kAnswered) {
-      // The back end is free again while the caller takes the rest.
+      // The back end is already free while the caller reads the rest.
       if (!co_await writer_->Finish())
-        co_return co_await FinishUnserved(AttemptOutcome::kCallerGone);
+        co_return co_await FinishUnanswered(AttemptOutcome::kCallerGone);
       LogAnswered();
       co_return keep_alive_;
     }
     if (bound_to_backend_ || !MayTryAgain(*admitted_.route, outcome, history_)) break;
-    if (!co_await IsVersionSure()) break;
-    if (deadline_ - Now() < kLeastTimeForAttempt) break;
-    if (!co_await TakeRepeat()) break;
+    if (!co_await IsVersionConfirmed()) break;
+    if (deadline_ - Now() < kMinTimeForAttempt) break;
+    if (!co_await AcquireRetry()) break;
   }
-  co_return co_await FinishUnserved(outcome);
+  co_return co_await FinishUnanswered(outcome);
 }
 
-// The data residency in force now binds, also where the request waited through a change.
-void Exchange::FollowDocument() {
+// Applies the current data residency: the routing document may have changed while the request
+// waited.
+void Exchange::RefreshResidency() {
   if (residency_table_ == context_.routing.Table()) return;
   residency_table_ = context_.routing.Table();
   Residency& residency = admitted_.profile.residency;
   residency = ReevaluateResidency(*residency_table_, head_, residency);
 }
 
-// Its data residency leaves it no back end.
-bool Exchange::IsWithoutHome(TimePoint now) {
+// True if the request is subject to a data residency that no ready back end satisfies.
+bool Exchange::HasNoPermittedBackend(TimePoint now) {
   const RequestProfile& profile = admitted_.profile;
   return profile.residency.has_value() && context_.dispatcher.ReadyFor(profile, now) == 0;
 }
@@ -230,22 +234,22 @@
   return context_.quarantine.LeftFor(fingerprint_, Now()).has_value();
 }
 
-// Where the back end has not begun to answer, the request may still wait there: a connection that
-// closes takes it out of the queue, before it ends one more back end.
+// As long as the back end has not started to answer, the request may still be queued there: closing
+// the connection removes it from the queue before it crashes another back end.
 void Exchange::OnQuarantined() {
   if (upstream_ == nullptr || has_output_) return;
-  given_up_ = true;
+  aborted_ = true;
   upstream_->Close();
 }
 
-void Exchange::AbortForMemory(int64_t bytes, Duration left_alone) {
-  given_up_for_memory_ = true;
+void Exchange::AbortForMemory(int64_t bytes, Duration stalled_for) {
+  aborted_for_memory_ = true;
   caller_gone_ = true;
   GlobalCounters().answers_cut_for_memory_total.Add();
   Log(LogLevel::kWarning, "answer_given_up",
       {{"request", request_id_},
        {"bytes", std::to_string(bytes)},
-       {"left_alone_ms", fmt::format("{:.0f}", ToMillis(left_alone))},
+       {"left_alone_ms", fmt::format("{:.0f}", ToMillis(stalled_for))},
        {"held", std::to_string(context_.request_memory->Total())},
        {"limit", std::to_string(context_.request_memory->Limit())}});
   caller_->Close();
@@ -257,15 +261,16 @@
   NoteEndOfAttempt(placement, outcome, ended);
 }
 
-// The request goes on meanwhile; what is believed of the back end waits.
-asio::awaitable<void> Exchange::ExplainAttempt(std::shared_ptr<Exchange> self, Placement placement,
-                                               AttemptOutcome outcome) {
-  // All that was cut by one event is told with its moment, however long each examination takes:
-  // ends of one moment are judged otherwise than those one after the other.
+// Finds out whether the back end or the path failed, then reports the outcome. Runs beside the
+// request, which is retried meanwhile.
+asio::awaitable<void> Exchange::DiagnoseAttempt(std::shared_ptr<Exchange> self, Placement placement,
+                                                AttemptOutcome outcome) {
+  // Everything that was cut by one event is reported with the time of the event, however long each
+  // examination takes: simultaneous failures are judged differently from successive ones.
   const TimePoint ended = Now();
-  // What broke is not mended by what came before; silence is.
-  const Duration heard_holds = outcome == AttemptOutcome::kCut ? Duration(0) : kHeardHolds;
-  const TimePoint since = ended - heard_holds;
+  // After a break, data received earlier proves nothing about the path; after silence it does.
+  const Duration evidence_age = outcome == AttemptOutcome::kCut ? Duration(0) : kPathEvidenceAge;
+  const TimePoint since = ended - evidence_age;
   const PathVerdict verdict = co_await self->context_.paths.Examine(placement.backend, since);
   const bool is_path = verdict == PathVerdict::kCut;
   self->FinishAttempt(placement, is_path ? AttemptOutcome::kPathLost : outcome, ended);
@@ -286,42 +291,42 @@
   }
 }
 
-asio::awaitable<bool> Exchange::TakeRepeat() {
-  // Only bytes that reached a back end count as a repeat there.
+asio::awaitable<bool> Exchange::AcquireRetry() {
+  // A retry is charged only if bytes of the request were sent to a back end before.
   if (history_.attempts == 0) co_return true;
-  if (repeat_ != nullptr && repeat_->MaySend(Now())) co_return true;
-  repeat_.reset();
-  repeat_ = co_await context_.retries.Take(admitted_.profile.service);
-  const bool granted = repeat_ != nullptr;
+  if (retry_ != nullptr && retry_->MaySend(Now())) co_return true;
+  retry_.reset();
+  retry_ = co_await context_.retries.Take(admitted_.profile.service);
+  const bool granted = retry_ != nullptr;
   Counters& counters = GlobalCounters();
   (granted ? counters.retries_total : counters.retries_denied_total).Add();
   if (granted && head_sent_) counters.continuations_total.Add();
-  LogRepeat();
+  LogRetry();
   co_return granted;
 }
 
-void Exchange::EndRepeat(AttemptOutcome outcome) {
+void Exchange::ReleaseRetry(AttemptOutcome outcome) {
   const TimePoint now = Now();
-  const bool may_be_on_its_way = outcome == AttemptOutcome::kSilent ||
+  const bool may_be_in_transit = outcome == AttemptOutcome::kSilent ||
                                  outcome == AttemptOutcome::kTimedOut ||
-                                 outcome == AttemptOutcome::kPathLost || caller_gone_ || given_up_;
-  // What a silent path holds reaches the back end when the path comes back.
-  if (!was_heard_ && may_be_on_its_way) {
-    unheard_until_ = now + context_.options.retry_budget.window;
+                                 outcome == AttemptOutcome::kPathLost || caller_gone_ || aborted_;
+  // Bytes in transit on a silent path reach the back end when the path recovers.
+  if (!has_matching_head_ && may_be_in_transit) {
+    in_transit_until_ = now + context_.options.retry_budget.window;
   }
-  if (repeat_ == nullptr) return;
-  repeat_->Close(std::max(now, unheard_until_));
-  repeat_.reset();
+  if (retry_ == nullptr) return;
+  retry_->Close(std::max(now, in_transit_until_));
+  retry_.reset();
 }
 
-asio::awaitable<bool> Exchange::FinishUnserved(AttemptOutcome last) {
+asio::awaitable<bool> Exchange::FinishUnanswered(AttemptOutcome last) {
   if (caller_gone_ || last == AttemptOutcome::kCallerGone) {
-    LogEnd(given_up_for_memory_ ? kCutForMemoryResult : kCallerGoneResult, status_sent_);
+    LogEnd(aborted_for_memory_ ? kCutForMemoryResult : kCallerGoneResult, status_sent_);
     caller_->Close();
     co_return false;
   }
   if (head_sent_) {
-    // Part of an answer was passed on: the caller must see that it is cut.
+    // Part of the answer was forwarded: closing the connection shows the caller that it is cut.
     (void)co_await writer_->Finish();
     LogEnd(kCutResult, status_sent_);
     caller_->Close();
@@ -332,67 +337,68 @@
     GlobalCounters().quarantine_refusals_total.Add();
     co_return co_await AnswerRefusal(ErrorKind::kQuarantined, *quarantined);
   }
-  if (history_.may_have_run == 0 && IsWithoutHome(Now())) {
+  if (history_.may_have_run == 0 && HasNoPermittedBackend(Now())) {
     LogResidencyRefusal("no_backend");
     co_return co_await AnswerRefusal(ErrorKind::kNoBackend, kRetryAfterNotRun);
   }
-  const bool is_version_gone =
+  const bool has_no_version_backend =
       !stream_version_.empty() && context_.dispatcher.ReadyFor(admitted_.profile, Now()) == 0;
-  if (history_.may_have_run == 0 && is_version_gone) {
+  if (history_.may_have_run == 0 && has_no_version_backend) {
     GlobalCounters().stream_take_ups_gone_total.Add();
     co_return co_await AnswerRefusal(ErrorKind::kStreamVersionGone, kRetryAfterVersionGone);
   }
   if (history_.may_have_run == 0) {
     const Dispatcher::Backoffs backoffs = context_.dispatcher.BackoffsFor(admitted_.profile, Now());
     if (backoffs.all) GlobalCounters().backoff_refusals_total.Add();
-    co_return co_await AnswerRefusal(ErrorKind::kOverloaded, WaitUntilServed(backoffs));
+    co_return co_await AnswerRefusal(ErrorKind::kOverloaded, RefusalRetryAfter(backoffs));
   }
   const bool out_of_time = last == AttemptOutcome::kTimedOut || last == AttemptOutcome::kSilent;
   co_return co_await AnswerRefusal(out_of_time ? ErrorKind::kTimeout : ErrorKind::kBackendFailed,
                                    Duration(0));
 }
 
-// The request was not run: the time after which some back end may take it.
-Duration Exchange::WaitUntilServed(const Dispatcher::Backoffs& backoffs) const {
+// Retry-After for a request that was not run: the time until some back end may accept it.
+Duration Exchange::RefusalRetryAfter(const Dispatcher::Backoffs& backoffs) const {
   if (metered_wait_.has_value())
     return std::min(*metered_wait_, backoffs.shortest.value_or(*metered_wait_));
-  // A caller told less would be refused again: 0.1 s was told with 2.5 s of back-off left.
+  // With a shorter time the caller would be refused again, e.g. after 0.1 s with 2.5 s of back-off
+  // left.
   return backoffs.all ? *backoffs.shortest : kRetryAfterNotRun;
 }
 
 asio::awaitable<AttemptOutcome> Exchange::Attempt(const Placement& placement) {
   answer_ = {};
   answer_end_.reset();
-  if (!co_await MayBegin(placement)) co_return AttemptOutcome::kWithheld;
+  if (!co_await CanStartAt(placement)) co_return AttemptOutcome::kWithheld;
   const OpenedPath opened = co_await OpenUpstream(placement);
   upstream_ = opened.connection;
-  over_ = upstream_ == nullptr ? std::string() : upstream_->Over();
+  via_node_ = upstream_ == nullptr ? std::string() : upstream_->Over();
   if (caller_gone_) co_return AttemptOutcome::kCallerGone;
   if (upstream_ == nullptr) {
     ++history_.connects_failed;
     if (Now() >= deadline_) co_return AttemptOutcome::kTimedOut;
     co_return opened.says_nothing_of_backend ? AttemptOutcome::kNoPath : AttemptOutcome::kNotSent;
   }
-  const bool may_go_on = co_await MayGoOnAt(placement);
+  const bool may_go_on = co_await CanResumeAt(placement);
   if (caller_gone_) co_return AttemptOutcome::kCallerGone;
-  FollowDocument();
+  RefreshResidency();
   const bool may_send =
       may_go_on && context_.dispatcher.MaySend(placement, admitted_.profile, Now());
-  const bool has_lapsed = history_.attempts > 0 && !repeat_->MaySend(Now());
-  if (!may_send || IsQuarantined() || has_lapsed) {
+  const bool retry_expired = history_.attempts > 0 && !retry_->MaySend(Now());
+  if (!may_send || IsQuarantined() || retry_expired) {
     context_.pool.Return(placement.backend.key, std::exchange(upstream_, nullptr));
     co_return AttemptOutcome::kWithheld;
   }
   ++history_.attempts;
   ++history_.may_have_run;
-  if (repeat_ != nullptr) repeat_->NoteSent();
-  was_heard_ = false;
+  if (retry_ != nullptr) retry_->NoteSent();
+  has_matching_head_ = false;
   has_output_ = false;
   sent_ = Now();
   upstream_->StartRequest(UpstreamHead(placement, Now()), request_.body,
-                          {request_id_, deadline_ - Now(), MayRepeat()});
-  const AttemptOutcome outcome = OutcomeOfPath(co_await Converse(placement));
-  if (outcome != AttemptOutcome::kWithheld) EndRepeat(outcome);
+                          {request_id_, deadline_ - Now(), IsRetryable()});
+  const AttemptOutcome outcome = OutcomeOfPath(co_await ExchangeWithBackend(placement));
+  if (outcome != AttemptOutcome::kWithheld) ReleaseRetry(outcome);
   if (ProvablyNotRun(outcome)) {
     --history_.may_have_run;
     GlobalCounters().backend_refusals_total.Add();
@@ -400,14 +406,14 @@
   const std::shared_ptr<UpstreamConnection> used = std::exchange(upstream_, nullptr);
   context_.pool.Return(placement.backend.key, used);
   const bool is_silent = outcome == AttemptOutcome::kSilent || outcome == AttemptOutcome::kTimedOut;
-  // Links may drop all open connections without a word while new ones work.
+  // A link may silently drop all open connections while new ones work.
   if (is_silent) context_.pool.CloseIdle(placement.backend.key);
   if (caller_gone_) co_return AttemptOutcome::kCallerGone;
-  co_return given_up_ ? AttemptOutcome::kGivenUp : outcome;
+  co_return aborted_ ? AttemptOutcome::kGivenUp : outcome;
 }
 
 asio::awaitable<OpenedPath> Exchange::OpenUpstream(const Placement& placement) {
-  // So that the caller's going ends the wait.
+  // Lets a disconnect of the caller end the wait.
   const PathService::OnPending on_pending = [this](std::shared_ptr<UpstreamConnection> pending) {
     upstream_ = std::move(pending);
   };
@@ -422,11 +428,11 @@
   co_return opened;
 }
 
-// What ended on the way says nothing of the back end.
+// A connection that was lost in the network does not reflect on the back end.
 AttemptOutcome Exchange::OutcomeOfPath(AttemptOutcome outcome) {
   if (upstream_->WasWithheld()) {
     --history_.attempts;
-    if (repeat_ != nullptr) repeat_->NoteWithheld();
+    if (retry_ != nullptr) retry_->NoteWithheld();
     return AttemptOutcome::kWithheld;
   }
   const bool is_of_connection = outcome == AttemptOutcome::kCut;
@@ -459,17 +465,18 @@
   return RequestHeadText(request_.method, request_.target, headers);
 }
 
-TimePoint Exchange::Patience(const Placement& placement, TimePoint now) const {
-  if (!MayRepeat() || history_.may_have_run >= admitted_.route->max_attempts) return deadline_;
+TimePoint Exchange::FirstOutputDeadline(const Placement& placement, TimePoint now) const {
+  if (!IsRetryable() || history_.may_have_run >= admitted_.route->max_attempts) return deadline_;
   const Duration expected = FromSeconds(placement.first_output_ms / 1e3);
-  const Duration patience = std::max<Duration>(
-      kLeastFirstPatience, kPatienceGoals * (admitted_.route->first_output_goal + expected));
-  return std::min(deadline_, now + patience);
+  const Duration timeout =
+      std::max<Duration>(kMinFirstOutputTimeout,
+                         kFirstOutputGoalFactor * (admitted_.route->first_output_goal + expected));
+  return std::min(deadline_, now + timeout);
 }
 
 Duration Exchange::PauseLimit() const {
   const Duration pause = admitted_.route->longest_pause.value_or(Duration(0));
-  return std::max<Duration>(kLeastPausePatience, kPatiencePauses * pause);
+  return std::max<Duration>(kMinPauseTimeout, kPauseFactor * pause);
 }
 
 AttemptOutcome Exchange::OutcomeOf(UpstreamError error, TimePoint deadline) const {
--- a/libs/relay/src/request/exchange.h
+++ b/libs/relay/src/request/exchange.h
@@ -1,4 +1,5 @@
-// One request from its head to its final answer: admission, attempts at back ends, relaying.
+// Processes one request from its head to its final answer: admission, attempts at back ends and
+// forwarding of the answer.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -20,19 +21,20 @@
 
 namespace cartsail {
 
-// How a request ended, as its log line names it; the kind of error where the node refused it.
+// Values of `result` in the log line of a request. For a request that this node refused it is the
+// name of the error kind.
 inline constexpr std::string_view kAnsweredResult = "answered";
 inline constexpr std::string_view kFailedAnswerResult = "failed_answer";
 inline constexpr std::string_view kCallerGoneResult = "caller_gone";
 inline constexpr std::string_view kCutResult = "cut";
 inline constexpr std::string_view kCutForMemoryResult = "cut_for_memory";
 
-// Statuses from here on tell a failure of the back end.
+// Statuses from here on report a failure of the back end.
 inline constexpr int kMinFailureStatus = 500;
 
-// What the log tells of a back end's answer to an attempt.
+// The parts of the head of a back end's answer that are logged for an attempt.
 struct AnswerHead {
-  int status = 0;           // 0: there was none
+  int status = 0;           // 0: no answer
   std::string retry_after;  // as the back end wrote it
   bool leaving = false;
   std::string rate_limit;  // as the back end wrote it
@@ -41,15 +43,15 @@
 // How the body of an attempt's answer ended.
 struct AnswerEnd {
   BodyEvidence evidence;
-  int64_t bytes = 0;  // of the body that came
+  int64_t bytes = 0;  // of the body, as received
 };
 
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(RelayContext& context, std::shared_ptr<CallerConnection> caller,
-           std::shared_ptr<RequestMemory> held, CallerRequest request);
+           std::shared_ptr<RequestMemory> memory, CallerRequest request);
 
-  // True when the caller's connection may serve another request.
+  // Processes the request. Returns true if the caller's connection may serve another request.
   boost::asio::awaitable<bool> Run();
 
  private:
@@ -58,19 +60,20 @@
   boost::asio::awaitable<void> WaitForCatalog();
   boost::asio::awaitable<bool> RunAdmitted();
   boost::asio::awaitable<AttemptOutcome> Attempt(const Placement& placement);
-  boost::asio::awaitable<AttemptOutcome> Converse(const Placement& placement);
+  boost::asio::awaitable<AttemptOutcome> ExchangeWithBackend(const Placement& placement);
   boost::asio::awaitable<OpenedPath> OpenUpstream(const Placement& placement);
   AttemptOutcome OutcomeOfPath(AttemptOutcome outcome);
   void FinishAttempt(const Placement& placement, AttemptOutcome outcome, TimePoint ended);
-  static boost::asio::awaitable<void> ExplainAttempt(std::shared_ptr<Exchange> self,
-                                                     Placement placement, AttemptOutcome outcome);
-  boost::asio::awaitable<AttemptOutcome> ReadOwnHead(const Placement& placement, ResponseHead* head,
-                                                     TimePoint patience);
-  boost::asio::awaitable<AttemptOutcome> SkipStrayAnswer();
+  static boost::asio::awaitable<void> DiagnoseAttempt(std::shared_ptr<Exchange> self,
+                                                      Placement placement, AttemptOutcome outcome);
+  boost::asio::awaitable<AttemptOutcome> ReadMatchingHead(const Placement& placement,
+                                                          ResponseHead* head,
+                                                          TimePoint read_deadline);
+  boost::asio::awaitable<AttemptOutcome> DiscardStaleAnswer();
   void NoteAnswerHead(const ResponseHead& head);
-  // Notes how the reading of the answer's body has ended, so far.
+  // Records the framing of the answer's body and how reading it ended.
   void NoteReadingEnd();
-  // At the end of the answer's body: kAnswered, or kCut where it was broken off.
+  // The outcome at the end of the answer's body: kAnswered, or kCut if the body was broken off.
   AttemptOutcome OutcomeOfBody();
   boost::asio::awaitable<AttemptOutcome> RelayAnswer(const Placement& placement,
                                                      const ResponseHead& head);
@@ -80,112 +83,118 @@
                                                      const ResponseHead& head);
   void NoteBody(const ResponseHead& head, std::string_view piece, EventScanner* events);
   void NoteStreamPiece(const Placement& placement, std::string_view piece);
-  // Until when the next piece of a stream is waited for.
-  TimePoint PatienceInStream(bool resumable) const;
-  // Passes bytes of a stream on, behind its head, and its end.
-  boost::asio::awaitable<bool> PassOn(const ResponseHead& head, std::string_view bytes,
-                                      bool at_end);
+  // The time until which the next piece of a stream is waited for.
+  TimePoint StreamReadDeadline(bool resumable) const;
+  // Forwards bytes of a stream, preceded by the head if it was not sent yet; `at_end` ends the
+  // body.
+  boost::asio::awaitable<bool> ForwardPiece(const ResponseHead& head, std::string_view bytes,
+                                            bool at_end);
   boost::asio::awaitable<bool> StartStreamAnswer(const ResponseHead& head);
   boost::asio::awaitable<bool> AnswerWhole(const ResponseHead& head, HttpHeaders headers,
                                            const ByteBlocks& body);
-  // `body`: the first part of `body_bytes`.
+  // Sends the head and `body`, the first part of a body of `body_bytes`.
   boost::asio::awaitable<bool> Answer(int status, std::string_view reason, HttpHeaders headers,
                                       std::string_view body, size_t body_bytes);
-  boost::asio::awaitable<bool> FinishUnserved(AttemptOutcome last);
-  Duration WaitUntilServed(const Dispatcher::Backoffs& backoffs) const;
+  boost::asio::awaitable<bool> FinishUnanswered(AttemptOutcome last);
+  Duration RefusalRetryAfter(const Dispatcher::Backoffs& backoffs) const;
   boost::asio::awaitable<bool> AnswerRefusal(ErrorKind kind, Duration retry_after);
 
   std::string UpstreamHead(const Placement& placement, TimePoint now) const;
   AttemptOutcome OutcomeOf(UpstreamError error, TimePoint deadline) const;
-  TimePoint Patience(const Placement& placement, TimePoint now) const;
+  TimePoint FirstOutputDeadline(const Placement& placement, TimePoint now) const;
   Duration PauseLimit() const;
-  bool MayRepeat() const;
-  // Its stream may go on at another back end, and belongs to one version of them.
+  bool IsRetryable() const;
+  // True if the request's stream can continue at another back end, but only at one of the version
+  // that started it.
   bool FollowsVersions() const;
-  // Names the stream, whichever of its caller's tries this is.
+  // Identifies the stream; the same for the request that started it and those that resume it.
   StreamKey Stream() const;
-  // Finds out the version of the stream that is taken up; false where it is not known.
-  boost::asio::awaitable<bool> FindVersion();
-  // A stream that has not begun may begin at the back end.
-  boost::asio::awaitable<bool> MayBegin(const Placement& placement);
-  // The first event is about to be passed on: from now on the stream belongs to the back end's
-  // version. False where it is not certain which one wrote it.
-  boost::asio::awaitable<bool> BindVersion(const Placement& placement);
-  // False: the stream began in this answer, and another version may have begun it.
-  boost::asio::awaitable<bool> IsVersionSure();
-  // The connection just made leads to a process of the stream's version.
-  boost::asio::awaitable<bool> MayGoOnAt(const Placement& placement);
+  // Looks up the version of the stream that this request resumes; false if it is unknown.
+  boost::asio::awaitable<bool> LookUpVersion();
+  // True unless the request would start a stream at a version at which streams may not start.
+  boost::asio::awaitable<bool> CanStartAt(const Placement& placement);
+  // Binds the stream to the back end's version; called before the first event is forwarded. False
+  // if it is not certain which version wrote the event.
+  boost::asio::awaitable<bool> PinVersion(const Placement& placement);
+  // False if the stream started in this answer and another version may have written its first
+  // event.
+  boost::asio::awaitable<bool> IsVersionConfirmed();
+  // True if the current connection leads to a process of the stream's version.
+  boost::asio::awaitable<bool> CanResumeAt(const Placement& placement);
   void NoteOutput(TimePoint now);
   void NoteRun(TimePoint now);
   void LogAttempt(const Placement& placement, AttemptOutcome outcome) const;
   std::string ConfigAgeText() const;
   std::string GoalText() const;
   std::string PauseGoalText() const;
-  void FollowDocument();
-  bool IsWithoutHome(TimePoint now);
+  void RefreshResidency();
+  bool HasNoPermittedBackend(TimePoint now);
   void LogResidencyRefusal(std::string_view why);
-  // Back ends end under this request: it may be sent to no further one.
+  // True if back ends have crashed on this request: it must not be sent to another one.
   bool IsQuarantined() const;
   void OnQuarantined();
-  // The answer is given up, since its caller does not take it and others need the memory.
-  void AbortForMemory(int64_t bytes, Duration left_alone);
+  // Aborts the answer: its caller has not read `bytes` of it for `stalled_for`, and the memory is
+  // needed for other requests.
+  void AbortForMemory(int64_t bytes, Duration stalled_for);
   void NoteEndOfAttempt(const Placement& placement, AttemptOutcome outcome, TimePoint ended);
-  // Whether the request may be sent to a back end now, as a repeat where it was sent to one before.
-  boost::asio::awaitable<bool> TakeRepeat();
-  void LogRepeat() const;
-  // The attempt under way has ended. From then on its repeat counts for one window, or for longer
-  // where its bytes may still be on their way.
-  void EndRepeat(AttemptOutcome outcome);
+  // Returns true if the request may be sent to a back end now. If it was sent to one before, this
+  // is a retry and is charged to the retry budget.
+  boost::asio::awaitable<bool> AcquireRetry();
+  void LogRetry() const;
+  // Ends the retry of the attempt that just ended. The retry counts for one budget window from now,
+  // or from the time until which bytes of the request may still arrive at a back end.
+  void ReleaseRetry(AttemptOutcome outcome);
   void CountEnd(std::string_view result, Duration took) const;
   void LogEnd(std::string_view result, int status) const;
   void LogAnswered() const;
 
   RelayContext& context_;
   std::shared_ptr<CallerConnection> caller_;
-  std::shared_ptr<RequestMemory> held_;
+  std::shared_ptr<RequestMemory> memory_;
   std::shared_ptr<AnswerWriter> writer_;
   CallerRequest request_;
   RequestHead head_;
   AdmittedRequest admitted_;
-  std::shared_ptr<const RouteTable> residency_table_;  // from which the data residency was read
+  std::shared_ptr<const RouteTable> residency_table_;  // source of the data residency
   AttemptHistory history_;
-  std::unique_ptr<RepeatTicket> repeat_;  // of the attempt under way, or of the next one
-  // Until then bytes of attempts that ended without a word may reach back ends.
-  TimePoint unheard_until_{};
+  std::unique_ptr<RepeatTicket> retry_;  // of the current or the next attempt; nullptr: no retry
+  // Until then, bytes of attempts that ended without an answer may reach back ends.
+  TimePoint in_transit_until_{};
   std::vector<BackendKey> tried_;
-  std::string last_backend_;  // id of the one tried last
-  std::string last_version_;  // its version
-  std::string placed_by_;     // the coordinator of the last attempt; empty: this node
+  std::string last_backend_;  // id of the back end of the last attempt
+  std::string last_version_;  // version of that back end
+  std::string placed_by_;     // coordinator that placed the last attempt; empty: this node
   std::string request_id_;
-  std::string resumes_;  // the request that began the stream which this one takes up; or empty
-  std::string stream_version_;  // that began the stream; empty: it has not begun
-  StreamRecord begun_here_;     // the stream, where it began in this answer
-  VersionSource version_source_ = VersionSource::kNone;  // of the stream that is taken up
+  std::string resumes_;          // id of the request that started the resumed stream; or empty
+  std::string stream_version_;   // at which the stream started; empty: not started or unknown
+  StreamRecord started_stream_;  // the stream, if it started in this answer
+  VersionSource version_source_ = VersionSource::kNone;  // of the resumed stream
   RequestFingerprint fingerprint_ = 0;
   ConnectResult connect_result_ = ConnectResult::kConnected;  // of the last attempt
-  std::string over_;                     // the node over which the last attempt went; empty: none
+  std::string via_node_;                 // node that bridged the last attempt; empty: none
   AnswerHead answer_;                    // of the last attempt
-  std::optional<AnswerEnd> answer_end_;  // of the last attempt; nothing: it had no head
-  std::string last_event_id_;            // of the events passed on, for a continuation
+  std::optional<AnswerEnd> answer_end_;  // of the last attempt; nullopt: it had no head
+  std::string last_event_id_;            // of the forwarded events, to resume after
   std::shared_ptr<UpstreamConnection> upstream_;
   TimePoint deadline_;
-  TimePoint sent_;  // to a back end, in the last attempt
+  TimePoint sent_;  // when the last attempt was sent to a back end
   TimePoint first_output_;
   TimePoint last_output_;
-  Duration longest_pause_{};              // between two pieces of the answer
-  std::optional<Duration> metered_wait_;  // only metered back ends were left, and none was free
+  Duration longest_pause_{};  // longest time between two pieces of the answer
+  // Set if only metered back ends were left and none was free: the time until one may be.
+  std::optional<Duration> metered_wait_;
   bool head_sent_ = false;
-  // What the caller was sent can be continued by the back end that sent it only.
+  // Only the back end that sent the forwarded bytes can continue the answer.
   bool bound_to_backend_ = false;
   bool follows_versions_ = false;
-  bool is_of_unknown_version_ = false;  // the stream, which has begun
-  bool run_noted_ = false;              // it counts as usage
-  int status_sent_ = 0;                 // of the head that the caller was sent
+  bool is_version_unknown_ = false;  // the stream has started at a back end without a version
+  bool usage_counted_ = false;       // the request was counted as usage
+  int status_sent_ = 0;              // of the head sent to the caller
   bool caller_gone_ = false;
-  bool given_up_for_memory_ = false;
-  bool was_heard_ = false;   // of the attempt under way: a head that answers it
-  bool has_output_ = false;  // of the attempt under way
-  bool given_up_ = false;    // the attempt under way, since the request was quarantined
+  bool aborted_for_memory_ = false;
+  bool has_matching_head_ = false;  // the current attempt has received the head that answers it
+  bool has_output_ = false;         // the current attempt has received a part of a body
+  bool aborted_ = false;            // the current attempt, since the request was quarantined
   bool keep_alive_ = true;
   int64_t bytes_out_ = 0;
 };
--- a/libs/relay/src/request/exchange_relaying.cc
+++ b/libs/relay/src/request/exchange_relaying.cc
@@ -1,5 +1,5 @@
-// Passes a back end's answer on to the caller: the head that belongs to the request, whole bodies,
-// streams.
+// Forwards a back end's answer to the caller: finds the head that answers the request, then relays
+// a buffered body or a stream.
 #include <algorithm>
 #include <boost/asio/awaitable.hpp>
 #include <utility>
@@ -17,7 +17,7 @@
 
 namespace asio = boost::asio;
 
-constexpr int kMostStrayAnswers = 3;  // skipped on one connection
+constexpr int kMaxStaleAnswers = 3;  // discarded on one connection
 
 bool IsSuccess(int status) { return status >= 200 && status < 300; }
 
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-asio::awaitable<AttemptOutcome> Exchange::SkipStrayAnswer() {
+asio::awaitable<AttemptOutcome> Exchange::DiscardStaleAnswer() {
   std::string chunk;
   do {
     const UpstreamError error = co_await upstream_->ReadBody(&chunk, deadline_);
@@ -48,26 +48,28 @@
   co_return AttemptOutcome::kAnswered;
 }
 
-// Reads heads until one that answers this request; others belong to requests before it.
-asio::awaitable<AttemptOutcome> Exchange::ReadOwnHead(const Placement& placement,
-                                                      ResponseHead* head, TimePoint patience) {
+// Reads heads until one that answers this request; other heads answer earlier requests on the same
+// connection.
+asio::awaitable<AttemptOutcome> Exchange::ReadMatchingHead(const Placement& placement,
+                                                           ResponseHead* head,
+                                                           TimePoint read_deadline) {
   const bool is_head_request = request_.method == "HEAD";
-  for (int i = 0; i <= kMostStrayAnswers; ++i) {
-    const UpstreamError error = co_await upstream_->ReadHead(head, is_head_request, patience);
-    if (error != UpstreamError::kNone) co_return OutcomeOf(error, patience);
+  for (int i = 0; i <= kMaxStaleAnswers; ++i) {
+    const UpstreamError error = co_await upstream_->ReadHead(head, is_head_request, read_deadline);
+    if (error != UpstreamError::kNone) co_return OutcomeOf(error, read_deadline);
     const std::string_view id = head->Header(context_.format.Names().request_id);
-    // Also where it answers a request before this one: the back end is the same.
+    // An answer to an earlier request is recorded too: it comes from the same back end.
     const TimePoint asked = id == request_id_ ? sent_ : TimePoint();
     NoteAnswer(context_, placement.backend, {head->status, head->headers, asked});
     if (id == request_id_) {
-      was_heard_ = true;
-      if (repeat_ != nullptr) repeat_->Close(std::max(Now(), unheard_until_));
+      has_matching_head_ = true;
+      if (retry_ != nullptr) retry_->Close(std::max(Now(), in_transit_until_));
       co_return AttemptOutcome::kAnswered;
     }
     // An answer without an id on a new connection can only be the back end's own refusal.
     const bool refused = !head->Header(context_.format.Names().not_run).empty();
     if (id.empty() && (refused || head->status == 421)) co_return AttemptOutcome::kAnswered;
-    const AttemptOutcome skipped = co_await SkipStrayAnswer();
+    const AttemptOutcome skipped = co_await DiscardStaleAnswer();
     if (skipped != AttemptOutcome::kAnswered) co_return skipped;
   }
   co_return AttemptOutcome::kSpoilt;
@@ -80,9 +82,10 @@
   answer_.rate_limit = std::string(head.Header(context_.format.Names().rate_limit));
 }
 
-asio::awaitable<AttemptOutcome> Exchange::Converse(const Placement& placement) {
+asio::awaitable<AttemptOutcome> Exchange::ExchangeWithBackend(const Placement& placement) {
   ResponseHead head;
-  const AttemptOutcome outcome = co_await ReadOwnHead(placement, &head, Patience(placement, Now()));
+  const AttemptOutcome outcome =
+      co_await ReadMatchingHead(placement, &head, FirstOutputDeadline(placement, Now()));
   if (outcome != AttemptOutcome::kAnswered) co_return outcome;
   NoteAnswerHead(head);
   answer_end_.emplace();
@@ -118,7 +121,7 @@
   const bool is_misdirected = head.status == 421;
   if (!is_misdirected) context_.quarantine.NoteAnswered(placement.backend.key, sent_);
   if (is_misdirected || !head.Header(names.not_run).empty()) {
-    (void)co_await SkipStrayAnswer();
+    (void)co_await DiscardStaleAnswer();
     co_return is_misdirected ? AttemptOutcome::kWrongInstance : AttemptOutcome::kRefused;
   }
   const bool signed_answer = !head.Header(names.signature).empty();
@@ -136,10 +139,10 @@
 
 asio::awaitable<AttemptOutcome> Exchange::RelayWhole(const Placement& placement,
                                                      const ResponseHead& head) {
-  BufferedBody body(held_);
+  BufferedBody body(memory_);
   EventScanner events;
   std::string chunk;
-  bool goes_on = true;
+  bool is_buffering = true;
   do {
     const UpstreamError error = co_await upstream_->ReadBody(&chunk, deadline_);
     if (error != UpstreamError::kNone) co_return OutcomeOf(error, deadline_);
@@ -147,24 +150,24 @@
     NoteBody(head, chunk, &events);
     const TimePoint now = Now();
     context_.placement.Output(placement.ticket, now);
-    goes_on = body.Append(chunk, now);
-  } while (!chunk.empty() && goes_on);
+    is_buffering = body.Append(chunk, now);
+  } while (!chunk.empty() && is_buffering);
   if (chunk.empty()) {
     const AttemptOutcome outcome = OutcomeOfBody();
     if (outcome != AttemptOutcome::kAnswered) co_return outcome;
   }
 
   const bool failed = head.status >= kMinFailureStatus;
-  const bool may_repeat = MayRepeat() && history_.may_have_run < admitted_.route->max_attempts;
-  if (failed && (may_repeat || head_sent_)) co_return AttemptOutcome::kFailedAnswer;
-  if (head_sent_) co_return AttemptOutcome::kSpoilt;  // a continuation cannot end in another head
+  const bool may_retry = IsRetryable() && history_.may_have_run < admitted_.route->max_attempts;
+  if (failed && (may_retry || head_sent_)) co_return AttemptOutcome::kFailedAnswer;
+  if (head_sent_) co_return AttemptOutcome::kSpoilt;  // a continuation must not send a second head
 
   HttpHeaders headers = EndToEndHeaders(head.headers, {});
   if (chunk.empty()) {
     const bool sent = co_await AnswerWhole(head, std::move(headers), body.Bytes());
     co_return sent ? AttemptOutcome::kAnswered : AttemptOutcome::kCallerGone;
   }
-  // Too large to hold: the rest is passed on as it comes.
+  // Too large to buffer: the rest is forwarded as it arrives.
   bound_to_backend_ = true;
   if (!co_await StartStreamAnswer(head)) co_return AttemptOutcome::kCallerGone;
   while (!body.Bytes().IsEmpty()) {
@@ -184,7 +187,7 @@
   co_return AttemptOutcome::kAnswered;
 }
 
-// No copy of all of a large body is made; a small one goes out with its head.
+// Sends the first block together with the head. A large body is not copied into one string.
 asio::awaitable<bool> Exchange::AnswerWhole(const ResponseHead& head, HttpHeaders headers,
                                             const ByteBlocks& body) {
   const std::deque<std::string>& blocks = body.Blocks();
@@ -209,7 +212,7 @@
   co_return co_await writer_->Write(ResponseHeadText(head.status, head.reason, headers));
 }
 
-// The end of a whole answer is judged by its content where that says what it is.
+// For an event stream, the content also tells whether the answer is complete.
 void Exchange::NoteBody(const ResponseHead& head, std::string_view piece, EventScanner* events) {
   answer_end_->bytes += static_cast<int64_t>(piece.size());
   if (!IsEventStream(head)) return;
@@ -217,7 +220,7 @@
   answer_end_->evidence.content = ContentEndOf(*events);
 }
 
-TimePoint Exchange::PatienceInStream(bool resumable) const {
+TimePoint Exchange::StreamReadDeadline(bool resumable) const {
   const bool has_attempts = history_.may_have_run < admitted_.route->max_attempts;
   const bool may_move = resumable && has_attempts && !bound_to_backend_;
   return may_move ? std::min(deadline_, Now() + PauseLimit()) : deadline_;
@@ -232,8 +235,8 @@
   context_.placement.Output(placement.ticket, now);
 }
 
-asio::awaitable<bool> Exchange::PassOn(const ResponseHead& head, std::string_view bytes,
-                                       bool at_end) {
+asio::awaitable<bool> Exchange::ForwardPiece(const ResponseHead& head, std::string_view bytes,
+                                             bool at_end) {
   if (bytes.empty() && !at_end) co_return true;
   if (!head_sent_ && !co_await StartStreamAnswer(head)) co_return false;
   bytes_out_ += static_cast<int64_t>(bytes.size());
@@ -244,15 +247,15 @@
 asio::awaitable<AttemptOutcome> Exchange::RelayStream(const Placement& placement,
                                                       const ResponseHead& head) {
   const bool is_events = IsEventStream(head);
-  if (head_sent_ && !is_events) co_return AttemptOutcome::kSpoilt;  // it continues no events
+  if (head_sent_ && !is_events) co_return AttemptOutcome::kSpoilt;  // not an event stream
   const bool resumable = admitted_.route->resumable && is_events;
   EventSplitter splitter(resumable ? EventSplitter::Passing::kWholeEvents
                                    : EventSplitter::Passing::kAsItComes);
   std::string chunk;
   while (true) {
-    const TimePoint patience = PatienceInStream(resumable);
-    const UpstreamError error = co_await upstream_->ReadBody(&chunk, patience);
-    if (error != UpstreamError::kNone) co_return OutcomeOf(error, patience);
+    const TimePoint read_deadline = StreamReadDeadline(resumable);
+    const UpstreamError error = co_await upstream_->ReadBody(&chunk, read_deadline);
+    if (error != UpstreamError::kNone) co_return OutcomeOf(error, read_deadline);
     const bool at_end = chunk.empty();
     NoteStreamPiece(placement, chunk);
     const std::string bytes = splitter.Feed(std::move(chunk));
@@ -262,10 +265,10 @@
       if (outcome != AttemptOutcome::kAnswered) co_return outcome;
     }
     const bool begins = resumable && !bytes.empty() && splitter.Scanner().HasEvent();
-    if (begins && !co_await BindVersion(placement)) co_return AttemptOutcome::kSpoilt;
-    if (!co_await PassOn(head, bytes, at_end)) co_return AttemptOutcome::kCallerGone;
+    if (begins && !co_await PinVersion(placement)) co_return AttemptOutcome::kSpoilt;
+    if (!co_await ForwardPiece(head, bytes, at_end)) co_return AttemptOutcome::kCallerGone;
     bound_to_backend_ =
-        head_sent_ && (!is_events || splitter.IsBoundToBackend() || is_of_unknown_version_);
+        head_sent_ && (!is_events || splitter.IsBoundToBackend() || is_version_unknown_);
     const std::string& last_id = splitter.Scanner().LastId();
     if (resumable && !last_id.empty()) last_event_id_ = last_id;
     if (at_end) co_return AttemptOutcome::kAnswered;
--- a/libs/relay/src/request/exchange_report.cc
+++ b/libs/relay/src/request/exchange_report.cc
@@ -1,4 +1,4 @@
-// What an exchange tells of itself: log lines, counters, histograms.
+// Log lines, counters and histograms of an exchange.
 #include <absl/strings/str_join.h>
 #include <fmt/format.h>
 
@@ -21,10 +21,10 @@
   last_output_ = now;
 }
 
-// Own repeats of a request count once.
+// Counts the request as usage once, however often it was retried.
 void Exchange::NoteRun(TimePoint now) {
-  if (run_noted_) return;
-  run_noted_ = true;
+  if (usage_counted_) return;
+  usage_counted_ = true;
   context_.usage.NoteRun(admitted_.tenant, now);
 }
 
@@ -34,8 +34,8 @@
   return coordinator.empty() ? "self" : coordinator;
 }
 
-// How the back end's answer ended, for the lines of attempts and of requests; empty: it had no
-// head.
+// How the back end's answer ended, as logged for attempts and requests. Empty fields: no head of an
+// answer was received.
 struct AnswerEndText {
   std::string framing;
   std::string reading;
@@ -63,7 +63,7 @@
        {"address", placement.backend.address},
        {"outcome", std::string(AttemptOutcomeName(outcome))},
        {"connect", std::string(ConnectResultName(connect_result_))},
-       {"over", over_},
+       {"over", via_node_},
        {"status", std::to_string(answer_.status)},
        {"retry_after", answer_.retry_after},
        {"leaving", answer_.leaving ? "true" : "false"},
@@ -87,16 +87,16 @@
        {"candidates", std::to_string(placement.candidates)}});
 }
 
-void Exchange::LogRepeat() const {
+void Exchange::LogRetry() const {
   const std::string& service = admitted_.profile.service;
   const PeerTable& peers = context_.peers;
-  const bool granted = repeat_ != nullptr;
+  const bool granted = retry_ != nullptr;
   Log(LogLevel::kWarning, "repeat",
       {{"request", request_id_},
        {"service", service},
        {"granted", granted ? "true" : "false"},
-       {"source", granted ? std::string(RepeatSourceName(repeat_->Grant().source)) : ""},
-       {"lender", granted ? repeat_->Lender() : ""},
+       {"source", granted ? std::string(RepeatSourceName(retry_->Grant().source)) : ""},
+       {"lender", granted ? retry_->Lender() : ""},
        {"budget_left", fmt::format("{:.1f}", context_.retries.LeftOfRequests(service))},
        {"extra_left", fmt::format("{:.1f}", context_.retries.LeftOfExtra(service))},
        {"live", std::to_string(peers.LiveCount() + 1)},
@@ -163,7 +163,7 @@
        {"config_age_ms", ConfigAgeText()}});
 }
 
-// The whole answer of a back end was passed on; it may tell a failure.
+// The complete answer of a back end was forwarded; its status may report a failure.
 void Exchange::LogAnswered() const {
   const bool failed = status_sent_ >= kMinFailureStatus;
   LogEnd(failed ? kFailedAnswerResult : kAnsweredResult, status_sent_);
@@ -191,7 +191,7 @@
        {"stream_version", stream_version_},
        {"version_known_by", std::string(VersionSourceName(version_source_))},
        {"last_event", last_event_id_},
-       {"over", over_},
+       {"over", via_node_},
        {"placed_by", tried_.empty() ? "" : PlacedByText(placed_by_)},
        {"attempts", std::to_string(history_.attempts)},
        {"connects_failed", std::to_string(history_.connects_failed)},
--- a/libs/relay/src/request/exchange_versions.cc
+++ b/libs/relay/src/request/exchange_versions.cc
@@ -1,4 +1,5 @@
-// Which version of back ends a stream belongs to, and that it goes on there only.
+// Binds a resumable stream to the back-end version that started it: the stream continues only at
+// back ends of that version.
 #include <algorithm>
 #include <boost/asio/awaitable.hpp>
 #include <utility>
@@ -12,8 +13,9 @@
 
 namespace asio = boost::asio;
 
-// A caller's tries end with the time that it gave the first one; the last one may just begin then.
-constexpr Duration kTriesEnd = seconds(1);
+// A caller retries until the time limit of its first try; its last try may only start then. The
+// record of the stream is kept for this much longer.
+constexpr Duration kLastAttemptMargin = seconds(1);
 
 }  // namespace
 
@@ -28,7 +30,7 @@
   return KeyOfStream(admitted_.profile.service, admitted_.tenant, first);
 }
 
-asio::awaitable<bool> Exchange::FindVersion() {
+asio::awaitable<bool> Exchange::LookUpVersion() {
   const StreamLookup lookup =
       co_await context_.streams.Find(admitted_.profile.service, Stream(), deadline_);
   version_source_ = lookup.source;
@@ -38,25 +40,25 @@
   co_return is_known;
 }
 
-asio::awaitable<bool> Exchange::MayBegin(const Placement& placement) {
+asio::awaitable<bool> Exchange::CanStartAt(const Placement& placement) {
   if (!follows_versions_ || !stream_version_.empty()) co_return true;
   const std::string& version = placement.backend.version;
   co_return co_await context_.streams.MayBegin(admitted_.profile.service, version);
 }
 
-asio::awaitable<bool> Exchange::IsVersionSure() {
-  if (begun_here_.version.empty()) co_return true;
-  co_return co_await context_.streams.IsSure(admitted_.profile.service, begun_here_);
+asio::awaitable<bool> Exchange::IsVersionConfirmed() {
+  if (started_stream_.version.empty()) co_return true;
+  co_return co_await context_.streams.IsSure(admitted_.profile.service, started_stream_);
 }
 
-asio::awaitable<bool> Exchange::MayGoOnAt(const Placement& placement) {
+asio::awaitable<bool> Exchange::CanResumeAt(const Placement& placement) {
   if (stream_version_.empty()) co_return true;
   co_return co_await context_.streams.MayGoOnAt(placement.backend, upstream_->Connected());
 }
 
-asio::awaitable<bool> Exchange::BindVersion(const Placement& placement) {
+asio::awaitable<bool> Exchange::PinVersion(const Placement& placement) {
   if (!follows_versions_ || !stream_version_.empty()) co_return true;
-  // Another process may have taken its place since it was chosen.
+  // Another process may have replaced the back end since it was chosen.
   const Backend* now = context_.dispatcher.Registry().Find(placement.backend.id);
   const std::string& version = placement.backend.version;
   if (now != nullptr && now->version != version) {
@@ -67,19 +69,19 @@
          {"listed", now->version}});
     co_return false;
   }
-  // Such a stream goes on nowhere: which back ends are of its version is not known.
-  is_of_unknown_version_ = version.empty();
-  if (is_of_unknown_version_) co_return true;
+  // Without a version it is unknown which back ends could continue the stream: none does.
+  is_version_unknown_ = version.empty();
+  if (is_version_unknown_) co_return true;
   stream_version_ = version;
-  begun_here_.key = Stream();
-  begun_here_.version = version;
-  begun_here_.engine = placement.backend.id;
-  begun_here_.started_ms = placement.backend.started_ms;
-  begun_here_.is_confirmed =
+  started_stream_.key = Stream();
+  started_stream_.version = version;
+  started_stream_.engine = placement.backend.id;
+  started_stream_.started_ms = placement.backend.started_ms;
+  started_stream_.is_confirmed =
       context_.streams.Processes().IsKnown(placement.backend, upstream_->Connected());
-  begun_here_.begun = Now();
-  begun_here_.until = deadline_ + kTriesEnd;
-  co_await context_.streams.Note(admitted_.profile.service, begun_here_);
+  started_stream_.begun = Now();
+  started_stream_.until = deadline_ + kLastAttemptMargin;
+  co_await context_.streams.Note(admitted_.profile.service, started_stream_);
   co_return true;
 }
 
--- a/libs/relay/src/request/memory_budget.cc
+++ b/libs/relay/src/request/memory_budget.cc
@@ -6,22 +6,22 @@
 namespace cartsail {
 namespace {
 
-// A caller that takes something each second is slow; one that takes nothing for longer has
+// A caller that reads something every second is slow; one that reads nothing for longer has
 // probably stopped.
-constexpr Duration kLeftAlone = seconds(1);
+constexpr Duration kStalledAfter = seconds(1);
 
-// Of the limit. The rest is for requests that come meanwhile and for what is read before each of
-// the others is held back.
+// Share of the limit above which answers are throttled. The rest is for requests that arrive
+// meanwhile and for what is read before each other answer is throttled.
 constexpr double kFullShare = 0.75;
 
 }  // namespace
 
 bool MemoryBudget::Reserve(HolderId holder, int64_t bytes, TimePoint now) {
-  ReduceTo(limit_ - bytes, kLeftAlone, now);
+  EvictDownTo(limit_ - bytes, kStalledAfter, now);
   if (total_ + bytes > limit_) return false;
   Holder& entry = holders_[holder];
   entry.reserved += bytes;
-  entry.taken = now;
+  entry.last_progress = now;
   total_ += bytes;
   return true;
 }
@@ -29,25 +29,25 @@
 void MemoryBudget::Free(HolderId holder, int64_t bytes) {
   const auto entry = holders_.find(holder);
   if (entry == holders_.end()) return;
-  // Of one that was given up nothing is reserved any more.
+  // An aborted holder has no reservation left.
   const int64_t freed = std::min(bytes, entry->second.reserved);
   entry->second.reserved -= freed;
   total_ -= freed;
 }
 
 void MemoryBudget::SetAbortHandler(
-    HolderId holder, std::function<void(int64_t bytes, Duration left_alone)> give_up) {
-  holders_[holder].give_up = std::move(give_up);
+    HolderId holder, std::function<void(int64_t bytes, Duration stalled_for)> on_abort) {
+  holders_[holder].on_abort = std::move(on_abort);
 }
 
 void MemoryBudget::NoteWaiting(HolderId holder, int64_t bytes, TimePoint now) {
   Holder& entry = holders_[holder];
-  if (entry.waiting == 0) entry.taken = now;
+  if (entry.waiting == 0) entry.last_progress = now;
   total_ += bytes - entry.waiting;
   entry.waiting = bytes;
-  ReduceTo(limit_, kLeftAlone, now);
-  // All callers take something: the slowest one is given up.
-  ReduceTo(limit_, Duration(0), now);
+  EvictDownTo(limit_, kStalledAfter, now);
+  // No caller has stalled: abort the answer that has gone longest without progress.
+  EvictDownTo(limit_, Duration(0), now);
 }
 
 void MemoryBudget::NoteTaken(HolderId holder, int64_t bytes, TimePoint now) {
@@ -55,7 +55,7 @@
   if (entry == holders_.end()) return;
   total_ += bytes - entry->second.waiting;
   entry->second.waiting = bytes;
-  entry->second.taken = now;
+  entry->second.last_progress = now;
 }
 
 void MemoryBudget::Release(HolderId holder) {
@@ -67,25 +67,26 @@
 
 bool MemoryBudget::IsFull(TimePoint now) {
   const auto full = static_cast<int64_t>(kFullShare * static_cast<double>(limit_));
-  ReduceTo(full, kLeftAlone, now);
+  EvictDownTo(full, kStalledAfter, now);
   return total_ > full;
 }
 
-void MemoryBudget::ReduceTo(int64_t most, Duration patience, TimePoint now) {
-  while (total_ > most) {
+void MemoryBudget::EvictDownTo(int64_t target, Duration min_stall, TimePoint now) {
+  while (total_ > target) {
     Holder* victim = nullptr;
     for (auto& [holder, entry] : holders_) {
-      if (entry.waiting == 0 || entry.give_up == nullptr) continue;
-      if (now - entry.taken < patience) continue;
-      if (victim == nullptr || entry.taken < victim->taken) victim = &entry;
+      if (entry.waiting == 0 || entry.on_abort == nullptr) continue;
+      if (now - entry.last_progress < min_stall) continue;
+      if (victim == nullptr || entry.last_progress < victim->last_progress) victim = &entry;
     }
     if (victim == nullptr) return;
-    // Its connections close at once; what it holds besides goes when its exchange ends.
+    // Counted as free at once: the connections close now, and the rest is freed when the exchange
+    // ends.
     const int64_t waiting = std::exchange(victim->waiting, 0);
     total_ -= waiting + std::exchange(victim->reserved, 0);
-    const Duration left_alone = now - victim->taken;
-    const auto give_up = std::exchange(victim->give_up, nullptr);
-    give_up(waiting, left_alone);
+    const Duration stalled_for = now - victim->last_progress;
+    const auto on_abort = std::exchange(victim->on_abort, nullptr);
+    on_abort(waiting, stalled_for);
   }
 }
 
--- a/libs/relay/src/request/memory_budget.h
+++ b/libs/relay/src/request/memory_budget.h
@@ -1,8 +1,8 @@
-// What a node holds in memory for its callers: bodies of requests, and answers that callers have
-// not taken yet. Callers and back ends may read slowly, or not at all; what is held for all of them
-// together is bounded. Where it is not enough, the answer that its caller has left alone for
-// longest is given up, so that no other one is held up and the process never outgrows its machine.
-// Pure.
+// Accounts for the memory that a node uses on behalf of its callers: request bodies, and response
+// bytes that callers have not read yet. Callers and back ends may read slowly or not at all, so the
+// total is bounded. When the limit is reached, the response whose caller has stalled for longest is
+// aborted: other responses are not delayed, and the process stays within the machine's memory.
+// No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -15,39 +15,42 @@
 
 namespace cartsail {
 
-// A request's own state beside its body and its answer: two connections with their buffers, the
-// coroutines.
+// Memory of one request apart from its body and its answer: two connections with their buffers, and
+// the coroutines.
 inline constexpr int64_t kRequestStateBytes = int64_t{40} << 10;
 
 class MemoryBudget {
  public:
   using HolderId = uint64_t;
 
-  // `limit`: bytes for all requests together.
+  // `limit`: total bytes for all requests.
   explicit MemoryBudget(int64_t limit) : limit_(limit) {}
 
-  // Takes `bytes` for a request, if need be by giving up answers that were left alone. False where
-  // there is no room: the request is to be refused before its body is read.
+  // Reserves `bytes` for a request, aborting stalled answers if necessary. Returns false if the
+  // limit would be exceeded; the request must then be refused before its body is read.
   bool Reserve(HolderId holder, int64_t bytes, TimePoint now);
 
-  // The request needs `bytes` of what it took no longer.
+  // Returns `bytes` of the holder's reservation.
   void Free(HolderId holder, int64_t bytes);
 
-  // No answer is to be read on of which something waits already. Gives up those that were left
-  // alone: without it an answer whose caller reads could be the one that is given up when many
-  // come at once, before it shows which of them have stopped.
+  // Returns true while usage is above the soft limit: an answer with unsent bytes must not be read
+  // further. Aborts stalled answers first. Without this soft limit, a burst of answers could abort
+  // one whose caller is reading, before it shows which callers have stopped.
   bool IsFull(TimePoint now);
 
-  // The request's answer may be given up: `give_up` is called once, and has to free what is held.
+  // Makes the holder's answer eligible for an abort. `on_abort` is called at most once, with the
+  // unsent bytes and the time since the caller last read something; it must close the request's
+  // connections, so that what the request holds is freed.
   void SetAbortHandler(HolderId holder,
-                       std::function<void(int64_t bytes, Duration left_alone)> give_up);
+                       std::function<void(int64_t bytes, Duration stalled_for)> on_abort);
 
-  // `bytes` of its answer wait for the caller. May give up answers, this one among them.
+  // Sets the holder's unsent answer bytes to `bytes`. May abort answers, including this one.
   void NoteWaiting(HolderId holder, int64_t bytes, TimePoint now);
 
-  // The caller has taken something; `bytes` still wait.
+  // Records that the caller has read part of the answer; `bytes` remain unsent.
   void NoteTaken(HolderId holder, int64_t bytes, TimePoint now);
 
+  // Removes the holder and everything that it holds.
   void Release(HolderId holder);
 
   HolderId NewHolder() { return next_holder_++; }
@@ -58,14 +61,14 @@
  private:
   struct Holder {
     int64_t reserved = 0;
-    int64_t waiting = 0;  // of the answer
-    TimePoint taken;      // when the caller last took something, or had taken all
-    std::function<void(int64_t bytes, Duration left_alone)> give_up;
+    int64_t waiting = 0;      // unsent bytes of the answer
+    TimePoint last_progress;  // when the caller last read something, or had nothing left to read
+    std::function<void(int64_t bytes, Duration stalled_for)> on_abort;
   };
 
-  // Gives up answers until no more than `most` bytes are held. Those left alone for less than
-  // `patience` are kept.
-  void ReduceTo(int64_t most, Duration patience, TimePoint now);
+  // Aborts answers, the longest stalled first, until at most `target` bytes are held. Answers that
+  // have stalled for less than `min_stall` are kept.
+  void EvictDownTo(int64_t target, Duration min_stall, TimePoint now);
 
   int64_t limit_;
   int64_t total_ = 0;
@@ -73,10 +76,10 @@
   std::unordered_map<HolderId, Holder> holders_;
 };
 
-// One request's part of it.
+// The share of a MemoryBudget that belongs to one request; released on destruction.
 class RequestMemory {
  public:
-  // May outlive the node's other state, in what is still being written.
+  // Shares ownership of the budget: a write in progress may outlive the node's other state.
   explicit RequestMemory(std::shared_ptr<MemoryBudget> memory)
       : memory_(std::move(memory)), holder_(memory_->NewHolder()) {}
   ~RequestMemory() { memory_->Release(holder_); }
@@ -87,12 +90,12 @@
   bool Reserve(int64_t body_bytes, TimePoint now) {
     return memory_->Reserve(holder_, kRequestStateBytes + body_bytes, now);
   }
-  // The same for `bytes` more.
+  // Reserves `bytes` more, as MemoryBudget::Reserve().
   bool ReserveMore(int64_t bytes, TimePoint now) { return memory_->Reserve(holder_, bytes, now); }
   void Free(int64_t bytes) { memory_->Free(holder_, bytes); }
   bool IsFull(TimePoint now) { return memory_->IsFull(now); }
-  void SetAbortHandler(std::function<void(int64_t bytes, Duration left_alone)> give_up) {
-    memory_->SetAbortHandler(holder_, std::move(give_up));
+  void SetAbortHandler(std::function<void(int64_t bytes, Duration stalled_for)> on_abort) {
+    memory_->SetAbortHandler(holder_, std::move(on_abort));
   }
   void NoteWaiting(int64_t bytes, TimePoint now) { memory_->NoteWaiting(holder_, bytes, now); }
   void NoteTaken(int64_t bytes, TimePoint now) { memory_->NoteTaken(holder_, bytes, now); }
--- a/libs/relay/src/request/message_head.cc
+++ b/libs/relay/src/request/message_head.cc
@@ -20,7 +20,7 @@
                                                                 "Transfer-Encoding",
                                                                 "Upgrade"};
 
-bool NamesItIn(std::string_view connection, std::string_view name) {
+bool ListsToken(std::string_view connection, std::string_view name) {
   for (const std::string_view token : SplitFields(connection, ',')) {
     if (EqualsIgnoreCase(token, name)) return true;
   }
@@ -42,7 +42,7 @@
   }
   for (const HttpHeader& header : headers) {
     if (!EqualsIgnoreCase(header.name, "Connection")) continue;
-    if (NamesItIn(header.value, name)) return true;
+    if (ListsToken(header.value, name)) return true;
   }
   return false;
 }
--- a/libs/relay/src/request/message_head.h
+++ b/libs/relay/src/request/message_head.h
@@ -1,5 +1,5 @@
-// Heads of HTTP messages as the relay passes them on: end-to-end headers stay as they came,
-// headers of one connection are left out. Pure.
+// Builds the heads of forwarded HTTP messages: end-to-end headers are kept unchanged, hop-by-hop
+// headers are removed. No I/O.
 #pragma once
 
 #include <string>
@@ -10,18 +10,19 @@
 
 namespace cartsail {
 
-// Headers that concern one connection only, among them those that `Connection` names.
+// True for headers that apply to a single connection, including those listed in the Connection
+// header of `headers`.
 bool IsHopByHop(std::string_view name, const HttpHeaders& headers);
 
-// `headers` without the hop-by-hop ones, the message's length and those named in `without`
+// Returns `headers` without hop-by-hop headers, Content-Length and the names in `without`
 // (case-insensitive).
 HttpHeaders EndToEndHeaders(const HttpHeaders& headers, const std::vector<std::string>& without);
 
-// "GET /path HTTP/1.1", the headers and the empty line.
+// The request line ("GET /path HTTP/1.1"), the headers and the empty line.
 std::string RequestHeadText(std::string_view method, std::string_view target,
                             const HttpHeaders& headers);
 
-// "HTTP/1.1 200 OK", the headers and the empty line.
+// The status line ("HTTP/1.1 200 OK"), the headers and the empty line.
 std::string ResponseHeadText(int status, std::string_view reason, const HttpHeaders& headers);
 
 }  // namespace cartsail
--- a/libs/relay/src/request/relay_server.cc
+++ b/libs/relay/src/request/relay_server.cc
@@ -23,9 +23,10 @@
 using asio::ip::tcp;
 
 constexpr int kBacklog = 1024;
-// Answers that were left alone are given up a second after: MemoryBudget.
-constexpr Duration kRetryAfterNoRoom = seconds(1);
-constexpr Duration kAcceptPause = milliseconds(50);  // after a failure, such as no descriptors
+// Stalled answers are aborted after one second (MemoryBudget).
+constexpr Duration kRetryAfterNoMemory = seconds(1);
+// Pause after a failed accept, e.g. for lack of file descriptors.
+constexpr Duration kAcceptRetryDelay = milliseconds(50);
 
 }  // namespace
 
@@ -34,7 +35,11 @@
 absl::Status RelayServer::Start() {
   boost::system::error_code error;
   const auto ip = asio::ip::make_address(context_.options.listen.host, error);
-  if (error) return MakeError(ErrorKind::kInvalidArgument, "listen: not an IP number");
+  if (error) {
+    return MakeError(
+        ErrorKind::kInvalidArgument,
+        fmt::format("listen address '{}' is not an IP address", context_.options.listen.host));
+  }
   const tcp::endpoint endpoint(ip, context_.options.listen.port);
   acceptor_.open(endpoint.protocol(), error);
   if (!error) acceptor_.set_option(tcp::acceptor::reuse_address(true), error);
@@ -57,7 +62,7 @@
     co_await acceptor_.async_accept(socket, asio::redirect_error(asio::use_awaitable, error));
     if (!acceptor_.is_open()) co_return;
     if (error) {
-      Timer pause(context_.io, kAcceptPause);
+      Timer pause(context_.io, kAcceptRetryDelay);
       co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
       continue;
     }
@@ -72,9 +77,9 @@
   while (open) {
     const auto table = context_.routing.Table();
     const RequestLimits limits = table == nullptr ? RequestLimits() : table->Limits();
-    const auto held = std::make_shared<RequestMemory>(context_.request_memory);
-    const std::function<bool(int64_t)> has_room = [&held](int64_t body_bytes) {
-      return held->Reserve(body_bytes, Now());
+    const auto memory = std::make_shared<RequestMemory>(context_.request_memory);
+    const std::function<bool(int64_t)> has_room = [&memory](int64_t body_bytes) {
+      return memory->Reserve(body_bytes, Now());
     };
     ReadRequestResult result = co_await caller->ReadRequest(limits, has_room);
     if (!result.request.has_value()) {
@@ -82,9 +87,9 @@
       break;
     }
     const auto exchange =
-        std::make_shared<Exchange>(context_, caller, held, std::move(*result.request));
+        std::make_shared<Exchange>(context_, caller, memory, std::move(*result.request));
     open = co_await exchange->Run();
-    // The answer may have begun before the node was to stop, and not have told so.
+    // The answer may have begun before the drain, without a "Connection: close" header.
     if (context_.draining) open = false;
   }
   caller->Close();
@@ -99,7 +104,7 @@
   HttpHeaders headers{{"Content-Length", "0"}, {"Connection", "close"}};
   if (fault == ErrorKind::kOverloaded) {
     GlobalCounters().memory_refusals_total.Add();
-    headers.push_back({"Retry-After", RetryAfterText(kRetryAfterNoRoom)});
+    headers.push_back({"Retry-After", RetryAfterText(kRetryAfterNoMemory)});
   }
   if (co_await caller.Write(ResponseHeadText(status, "Refused", headers))) {
     co_await caller.CloseGracefully();
--- a/libs/relay/src/request/relay_server.h
+++ b/libs/relay/src/request/relay_server.h
@@ -1,4 +1,4 @@
-// Accepts callers and runs their exchanges one after the other on each connection.
+// Accepts callers' connections and runs the exchanges of each connection one after the other.
 #pragma once
 
 #include <absl/status/status.h>
@@ -17,13 +17,13 @@
  public:
   explicit RelayServer(RelayContext& context);
 
-  // kInvalidArgument when the address cannot be bound.
+  // Returns kInvalidArgument if the listen address is not an IP address or cannot be bound.
   absl::Status Start();
 
-  // Closes the listening socket; open connections go on.
+  // Closes the listening socket; open connections stay open.
   void StopAccepting();
 
-  // Closes the connections on which no request is under way.
+  // Closes the connections that are between two requests.
   void CloseIdle();
 
   size_t OpenConnections() const { return callers_.size(); }
--- a/libs/relay/src/request/retry_after.cc
+++ b/libs/relay/src/request/retry_after.cc
@@ -19,7 +19,7 @@
   return time;
 }
 
-// Seconds as a number; nothing when it is none.
+// Non-negative seconds; nullopt if `text` is not such a number.
 std::optional<double> ParseSeconds(std::string_view text) {
   double value = 0;
   const bool is_number = absl::SimpleAtod(absl::string_view(text.data(), text.size()), &value);
--- a/libs/relay/src/request/retry_after.h
+++ b/libs/relay/src/request/retry_after.h
@@ -1,4 +1,4 @@
-// The header Retry-After, as back ends and this node write it. Pure.
+// Parses and formats the Retry-After header. No I/O.
 #pragma once
 
 #include <optional>
@@ -9,19 +9,20 @@
 
 namespace cartsail {
 
-// A back end that asks for more is asked again after this: nothing that it waits for takes longer
-// than its own replacement does, some minutes.
+// Upper bound of a back-off that a back end requests: nothing that it waits for takes longer than
+// its replacement, which takes some minutes.
 inline constexpr Duration kMaxBackoff = std::chrono::hours(1);
-// Where the text can't be read, or is a date and the answer does not tell its own: long enough for
-// a queue to empty, some dozen requests of 20 to 60 ms.
+// Used when the value cannot be parsed, or is a date and the answer has no readable Date header.
+// Long enough for a queue to drain: some dozen requests of 20 to 60 ms.
 inline constexpr Duration kDefaultBackoff = seconds(1);
 
-// The time in `text`: seconds, fractions included, or an HTTP date, which is taken against the
-// answer's own `Date`, since clocks may be set. 0 for none or a time that is past.
+// Returns the delay in `text`: seconds, fractions allowed, or an HTTP date. A date is compared with
+// the answer's own Date header, `date`, since the clocks of two machines may differ. 0 if `text` is
+// empty or the date is past; at most kMaxBackoff.
 Duration ParseRetryAfter(std::string_view text, std::string_view date);
 
-// Seconds with three decimals, rounded up: less would bring the caller back too early, and 0.000
-// would tell it nothing.
+// Formats `wait` in seconds with three decimals, rounded up: rounding down would bring the caller
+// back too early, and 0.000 would tell it nothing.
 std::string RetryAfterText(Duration wait);
 
 }  // namespace cartsail
--- a/libs/relay/src/request/wire_format.cc
+++ b/libs/relay/src/request/wire_format.cc
@@ -9,10 +9,10 @@
 namespace cartsail {
 namespace {
 
-constexpr int64_t kLeastUrgent = 9;
+constexpr int64_t kLowestUrgency = 9;
 
-// The two sides of the first `separator`; the second is empty where there is none.
-std::pair<std::string_view, std::string_view> Halves(std::string_view text, char separator) {
+// Splits at the first `separator`; without one the second part is empty.
+std::pair<std::string_view, std::string_view> SplitOnce(std::string_view text, char separator) {
   const size_t at = text.find(separator);
   if (at == std::string_view::npos) return {text, {}};
   return {Trimmed(text.substr(0, at)), Trimmed(text.substr(at + 1))};
@@ -23,7 +23,7 @@
 std::vector<PromptPart> WireFormat::ParsePromptParts(std::string_view text) const {
   std::vector<PromptPart> parts;
   for (const std::string_view field : SplitFields(text, ',')) {
-    const auto [id, tokens] = Halves(field, ':');
+    const auto [id, tokens] = SplitOnce(field, ':');
     PromptPart part;
     if (!ParseHexadecimal(id, &part.id)) return {};
     if (!ParseInteger(tokens, &part.tokens) || part.tokens < 0) return {};
@@ -33,7 +33,7 @@
 }
 
 std::optional<TokenCounts> WireFormat::ParseTokenCounts(std::string_view text) const {
-  const auto [prompt, output] = Halves(text, ',');
+  const auto [prompt, output] = SplitOnce(text, ',');
   TokenCounts counts;
   if (!ParseInteger(prompt, &counts.prompt) || counts.prompt < 0) return std::nullopt;
   if (!ParseInteger(output, &counts.output) || counts.output < 0) return std::nullopt;
@@ -50,7 +50,11 @@
   const json::value value = json::parse({body.data(), body.size()}, error);
   const json::array* rows =
       error || !value.is_object() ? nullptr : GetArray(value.as_object(), field);
-  if (rows == nullptr) return MakeError(ErrorKind::kMalformedRequest, "cached parts: no list");
+  if (rows == nullptr) {
+    return MakeError(
+        ErrorKind::kMalformedRequest,
+        "cached prompt parts: not a JSON object with an array '" + std::string(field) + "'");
+  }
   std::vector<PromptPart> parts;
   for (const json::value& row : *rows) {
     if (!row.is_array() || row.as_array().size() < id_column + 2) continue;
@@ -65,7 +69,7 @@
 }
 
 std::string WireFormat::FormatUrgency(int64_t tier) const {
-  return std::to_string(std::clamp<int64_t>(tier, 0, kLeastUrgent));
+  return std::to_string(std::clamp<int64_t>(tier, 0, kLowestUrgency));
 }
 
 }  // namespace cartsail
