--- a/libs/relay/include/cartsail/relay/admission.h
+++ b/libs/relay/include/cartsail/relay/admission.h
@@ -1,5 +1,5 @@
-// Decides from its head alone what becomes of a request: which route, tenant and service, or why
-// it is refused. Pure.
+// Admits or refuses a request by its head alone: determines route, tenant and service, or the
+// reason of the refusal. No I/O.
 #pragma once
 
 #include <optional>
@@ -13,13 +13,13 @@
 
 namespace cartsail {
 
-// What the relay reads from a request's head.
+// The parts of a request's head that the relay reads. An absent header is empty.
 struct RequestHead {
   std::string method;
   std::string target;
   std::string host;
   std::string request_id;
-  std::string resumes;  // the request that began the stream which this one takes up; or empty
+  std::string resumes;  // id of the request that started the stream to resume; empty: none
   std::string authorization;
   std::string time_left;
   std::string prompt_parts;
@@ -28,7 +28,7 @@
 
 struct Refusal {
   ErrorKind kind = ErrorKind::kInternal;
-  Duration retry_after{};  // 0: none is given
+  Duration retry_after{};  // 0: the answer has no Retry-After
 };
 
 struct AdmittedRequest {
@@ -36,23 +36,25 @@
   const RouteRule* route = nullptr;
   std::string tenant;  // empty: none
   int64_t tier = 0;
-  Duration time_left{};  // until the caller gives up or the route's time ends
+  Duration time_left{};  // the lesser of the caller's time limit and the route's
   bool caller_set_time = false;
   RequestProfile profile;
 };
 
 struct AdmissionResult {
   std::optional<Refusal> refusal;
-  AdmittedRequest admitted;  // where there is no refusal, or the data residency is the reason
+  // Filled if there is no refusal, or if the data residency is the reason of the refusal.
+  AdmittedRequest admitted;
 };
 
-// The data residency of an admitted request by `table`, which may be newer than the one by which it
-// was admitted, with `admitted`. What the newer one no longer knows binds as it did.
+// Returns the data residency of a request under `table`, which may be newer than the table that
+// admitted the request with the residency `admitted`. A route or tenant that `table` no longer has
+// keeps its former restrictions.
 Residency ReevaluateResidency(const RouteTable& table, const RequestHead& head,
                               const Residency& admitted);
 
-// A view of the store older than `trusted_for` does not justify refusing unknown routes and keys:
-// the caller is told to come back then.
+// Admits or refuses a request. Unknown routes and keys are refused for good only if the view of the
+// store is at most `trusted_for` old; with an older view the refusal is kNotReady with Retry-After.
 AdmissionResult Admit(const RequestHead& head, const RoutingState& state, const WireFormat& format,
                       Duration trusted_for, TimePoint now);
 
--- a/libs/relay/include/cartsail/relay/catalog_codec.h
+++ b/libs/relay/include/cartsail/relay/catalog_codec.h
@@ -1,4 +1,4 @@
-// How the store spells the routing document and the back ends. Given by the deployment.
+// Decodes the store's routing document and back-end entries. Implemented by the deployment.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -11,18 +11,18 @@
 
 namespace cartsail {
 
-// Where the store keeps them.
+// Keys of the catalog in the store.
 struct CatalogKeys {
-  std::string prefix;          // of all keys below: one watch follows them
+  std::string prefix;          // common prefix of all keys below: a single watch covers them
   std::string document;        // key of the routing document
-  std::string backend_prefix;  // keys of back ends: prefix and id
-  // Keys of drained zones: prefix and zone; the value does not matter. Empty: there are none.
+  std::string backend_prefix;  // back ends: this prefix + id
+  // Drained zones: this prefix + zone; the value is ignored. Empty: zones cannot be drained.
   std::string drained_zone_prefix;
-  // Keys of quarantined requests, which nodes write themselves: prefix and fingerprint; no value.
-  // Empty: they are not kept in the store.
+  // Quarantined requests, written by the nodes: this prefix + fingerprint, without a value. Empty:
+  // they are not kept in the store.
   std::string quarantine_prefix = {};
-  // Keys of begun streams and of the versions at which they may begin, which nodes write
-  // themselves: prefix, service, what it is. Empty: they are not kept in the store.
+  // Started streams, and the versions at which streams may start, written by the nodes: this
+  // prefix + service + kind of entry. Empty: they are not kept in the store.
   std::string stream_prefix = {};
 };
 
@@ -30,9 +30,9 @@
  public:
   virtual ~CatalogCodec() = default;
 
-  // kInvalidSetting names the field that is missing or malformed.
+  // Fails with kInvalidSetting; the message names the missing or malformed field.
   virtual absl::StatusOr<RoutingDocument> DecodeDocument(std::string_view text) const = 0;
-  // The entry was read at `now`.
+  // `now`: when the entry was read. Fails as DecodeDocument().
   virtual absl::StatusOr<Backend> DecodeBackend(std::string_view id, std::string_view text,
                                                 TimePoint now) const = 0;
 };
--- a/libs/relay/include/cartsail/relay/duty_options.h
+++ b/libs/relay/include/cartsail/relay/duty_options.h
@@ -1,4 +1,5 @@
-// Settings of the duties, as a plain struct. Which there are is the deployment's matter.
+// Settings of the duties: tasks that one node of the fleet performs at a time. The deployment
+// decides which duties exist.
 #pragma once
 
 #include "cartsail/duties/capacity_policy.h"
--- a/libs/relay/include/cartsail/relay/duty_platform.h
+++ b/libs/relay/include/cartsail/relay/duty_platform.h
@@ -1,5 +1,5 @@
-// Calls to the platform that one node of the fleet makes at a time: the duties. Given by the
-// deployment.
+// Platform calls of the duties, the tasks that one node of the fleet performs at a time.
+// Implemented by the deployment.
 #pragma once
 
 #include <absl/status/status.h>
@@ -13,7 +13,7 @@
 
 namespace cartsail {
 
-// Who makes a call, and by which acquisition of the duty.
+// Identifies the caller of a platform call and its acquisition of the duty.
 struct DutyCredentials {
   std::string holder;  // name of the node
   FencingToken token = 0;
@@ -24,9 +24,9 @@
   TenantCounts counts;
 };
 
-// All calls fail with kConflict when the platform refused them, because of a greater token or, for
-// an order, because there are no such engines; with kPlatformUnavailable when they may have been
-// carried out, or may still be, seconds later.
+// All calls fail with kConflict if the platform refused them, because it has seen a greater token
+// or, for an order, because the engines do not exist. They fail with kPlatformUnavailable if the
+// call may have been carried out or may still be, even seconds later.
 class DutyPlatform {
  public:
   virtual ~DutyPlatform() = default;
--- a/libs/relay/include/cartsail/relay/relay_node.h
+++ b/libs/relay/include/cartsail/relay/relay_node.h
@@ -1,4 +1,4 @@
-// A node that relays requests byte for byte between callers and back ends that a store lists.
+// A node that relays requests byte for byte between callers and the back ends listed in a store.
 #pragma once
 
 #include <absl/status/status.h>
@@ -16,22 +16,22 @@
 
 namespace cartsail {
 
-// What a deployment brings: its spelling of messages and documents, its store and its settings.
+// What a deployment supplies: formats of messages and documents, the store, and settings.
 struct RelayDeployment {
   std::unique_ptr<WireFormat> format;
   std::unique_ptr<CatalogCodec> codec;
   CatalogKeys keys;
-  // The store; its watches wait that long at most before they ask anew.
+  // Creates the store client. Its watches time out after `watch_wait` and are then renewed.
   std::function<std::unique_ptr<KeyValueStore>(boost::asio::io_context&, Duration watch_wait)>
       make_store;
-  // The calls of the duties; none where the deployment has no duties.
+  // Creates the platform client of the duties; empty: the deployment has no duties.
   std::function<std::unique_ptr<DutyPlatform>(boost::asio::io_context&)> make_duty_platform;
-  // Reads the settings again, at SIGHUP.
+  // Reads the settings again; called on SIGHUP.
   std::function<absl::StatusOr<RelayOptions>()> reload;
 };
 
-// Runs until SIGTERM or SIGINT and a completed drain. Returns OK after a planned stop, or why the
-// start failed.
+// Runs until SIGTERM or SIGINT and the end of the drain. Returns OK after a planned stop, otherwise
+// the error that prevented the start.
 absl::Status RunRelayNode(const RelayOptions& options, const RelayDeployment& deployment);
 
 }  // namespace cartsail
--- a/libs/relay/include/cartsail/relay/routing_state.h
+++ b/libs/relay/include/cartsail/relay/routing_state.h
@@ -1,5 +1,5 @@
-// The routing document in force at this node, and how fresh the node's view of the store is.
-// Versions only rise. Pure.
+// The routing document in force at this node and the age of the node's view of the store. The
+// version never decreases. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -13,11 +13,11 @@
 
 class RoutingState {
  public:
-  // The table in force; nullptr before the first one.
+  // The table in force; nullptr until the first Apply().
   const std::shared_ptr<const RouteTable>& Table() const { return table_; }
 
-  // Puts a newer table in force; false when it is not newer. `encoded` is the document as it is
-  // handed on to peers; `known_since`: when the first node on its way put it in force.
+  // Puts a newer table in force; returns false if it is not newer. `encoded`: the document as sent
+  // to peers. `known_since`: when the first node on the document's way here put it in force.
   bool Apply(std::shared_ptr<const RouteTable> table, std::string encoded,
              TimePoint known_since = {});
 
@@ -25,14 +25,14 @@
   TimePoint KnownSince() const { return known_since_; }
   int64_t Version() const { return table_ == nullptr ? 0 : table_->Version(); }
 
-  // The store has answered at `now`: what is in force was the newest then.
+  // Records that the store confirmed the document in force as the newest at `now`.
   void Confirm(TimePoint now) { confirmed_ = now; }
 
-  // A peer with the same document had the store's word at `then`.
+  // Records that the store confirmed the same document to a peer at `then`.
   void ConfirmFromPeer(TimePoint then) { confirmed_ = std::max(confirmed_, then); }
 
-  // The store, or a peer that hears it, has answered within `limit`: refusing what the document
-  // doesn't know is then justified.
+  // True if the document was confirmed within `limit`, by the store or through a peer. Routes and
+  // keys that it lacks may then be refused.
   bool IsFresh(TimePoint now, Duration limit) const {
     return table_ != nullptr && now - confirmed_ <= limit;
   }
--- a/libs/relay/include/cartsail/relay/wire_format.h
+++ b/libs/relay/include/cartsail/relay/wire_format.h
@@ -1,5 +1,5 @@
-// How callers and back ends spell what the relay reads and writes in HTTP messages. The defaults
-// are the product's own names; a deployment with other names gives its own.
+// Names and formats of what the relay reads and writes in HTTP messages of callers and back ends.
+// The defaults are the product's own names; a deployment may supply others.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -14,34 +14,35 @@
 
 namespace cartsail {
 
-// Names of headers. Set by callers: request_id, time_left, prompt_parts, token_counts, resumes. Set
-// by the relay towards back ends, and taken out of what callers send: tenant, expected_instance,
-// urgency, fetch_prefix_from and all of `reserved`. Set by back ends: signature, not_run, leaving,
-// rate_limit, brittle; in answers about their health: instance, cold_left.
+// Header names and paths. Callers set request_id, time_left, prompt_parts, token_counts and
+// resumes. The relay sets tenant, expected_instance, urgency and fetch_prefix_from towards back
+// ends, and removes them and all of `reserved` from callers' requests. Back ends set signature,
+// not_run, leaving, rate_limit and brittle; in answers at their health path also instance and
+// cold_left.
 struct WireNames {
   std::string request_id = "Cartsail-Request-Id";
-  std::string time_left = "Cartsail-Time-Left-Ms";  // milliseconds that the sender still waits
+  std::string time_left = "Cartsail-Time-Left-Ms";  // time that the sender still waits, in ms
   std::string prompt_parts = "Cartsail-Prompt-Parts";
   std::string token_counts = "Cartsail-Token-Counts";
-  // Of the request that brought the first event of the stream that this one takes up.
+  // Id of the request that started the stream to resume.
   std::string resumes = "Cartsail-Resumes";
   std::string tenant = "Cartsail-Tenant";
   std::string expected_instance = "Cartsail-Expected-Instance";
   std::string urgency = "Cartsail-Urgency";
   std::string fetch_prefix_from = "Cartsail-Fetch-Prefix-From";
-  std::string signature = "Cartsail-Signature";    // on each answer of a back end that ran
-  std::string not_run = "Cartsail-Not-Run";        // on answers to requests that were not run
-  std::string leaving = "Cartsail-Leaving";        // on each answer of a back end that leaves
-  std::string rate_limit = "Cartsail-Rate-Limit";  // requests a second that it takes from all nodes
-  std::string brittle = "Cartsail-Brittle";        // requests a second that it bears to turn away
-  std::string instance = "Cartsail-Instance";      // who answers
-  std::string cold_left = "Cartsail-Cold-Left-Ms";  // milliseconds that it is still slow
-  std::vector<std::string> reserved;                // further ones that callers may not set
+  std::string signature = "Cartsail-Signature";  // on each answer to a request that was run
+  std::string not_run = "Cartsail-Not-Run";      // on each answer to a request that was not run
+  std::string leaving = "Cartsail-Leaving";  // on each answer of a back end that is shutting down
+  std::string rate_limit = "Cartsail-Rate-Limit";   // requests per second accepted from all nodes
+  std::string brittle = "Cartsail-Brittle";         // rejections per second that it can sustain
+  std::string instance = "Cartsail-Instance";       // id of the answering back end
+  std::string cold_left = "Cartsail-Cold-Left-Ms";  // remaining warm-up time, in ms
+  std::vector<std::string> reserved;                // further headers that callers may not set
   std::string ready_path = "/readyz";
-  std::string cached_parts_path;  // at engines; empty: they don't tell what they hold
+  std::string cached_parts_path;  // of engines; empty: engines do not list their caches
 };
 
-// Tokens of the prompt and the most that may be generated.
+// Tokens of the prompt, and the upper bound of the tokens to generate.
 struct TokenCounts {
   int64_t prompt = 0;
   int64_t output = 0;
@@ -54,25 +55,27 @@
 
   const WireNames& Names() const { return names_; }
 
-  // "ID:TOKENS,ID:TOKENS", ids in hexadecimal; nothing when it is not that.
+  // Parses "ID:TOKENS,ID:TOKENS", ids in hexadecimal; empty if `text` is malformed.
   virtual std::vector<PromptPart> ParsePromptParts(std::string_view text) const;
 
-  // "PROMPT,OUTPUT"; nothing when it is not that.
+  // Parses "PROMPT,OUTPUT"; nullopt if `text` is malformed.
   virtual std::optional<TokenCounts> ParseTokenCounts(std::string_view text) const;
 
-  // What an engine answers at `cached_parts_path`: a JSON object with "parts", rows of an id in
-  // hexadecimal and tokens. kMalformedRequest when it is not that.
+  // Parses an engine's answer at `cached_parts_path`: a JSON object with "parts", an array of rows
+  // of an id in hexadecimal and a number of tokens. Fails with kMalformedRequest without that
+  // array.
   virtual absl::StatusOr<std::vector<PromptPart>> ParseCachedParts(std::string_view body) const;
 
-  // The value of the urgency header for `tier`.
+  // Returns the value of the urgency header for `tier`.
   virtual std::string FormatUrgency(int64_t tier) const;
 
  private:
   WireNames names_;
 };
 
-// Reads the rows of `field` in a JSON object: an id in hexadecimal at `id_column`, tokens behind
-// it. Rows that are not that are left out; kMalformedRequest when there is no such list.
+// Parses the rows of the array `field` in a JSON object: an id in hexadecimal at `id_column`,
+// followed by a number of tokens. Malformed rows are skipped. Fails with kMalformedRequest without
+// such an array.
 absl::StatusOr<std::vector<PromptPart>> ParsePartRows(std::string_view body, std::string_view field,
                                                       size_t id_column);
 
--- a/libs/relay/src/relay_context.h
+++ b/libs/relay/src/relay_context.h
@@ -1,4 +1,4 @@
-// What all exchanges of one node share. One thread.
+// State that all exchanges of one node share. Single-threaded.
 #pragma once
 
 #include <algorithm>
@@ -26,10 +26,11 @@
 
 namespace cartsail {
 
-// Of the process's memory, for requests and answers. The rest is for what the node knows of the
-// fleet, and for what the allocator leaves unused between large and small blocks.
+// Share of the process's memory for requests and answers. The rest is for the node's view of the
+// fleet and for fragmentation of the heap between large and small blocks.
 inline constexpr double kRequestMemoryShare = 0.4;
 
+// In bytes.
 inline int64_t RequestMemoryLimit(const RelayOptions& options) {
   return static_cast<int64_t>(kRequestMemoryShare * static_cast<double>(options.memory_bytes));
 }
@@ -39,7 +40,7 @@
                const WireFormat& wire_format)
       : io(io_context),
         options(relay_options),
-        // One reading of the store serves both: the nearer deadline decides how it is kept up.
+        // One read of the store serves both deadlines, so the shorter one sets the limits.
         document_limits(DocumentLimitsFor(
             std::min(relay_options.document_deadline, relay_options.zone_drain_deadline))),
         format(wire_format),
@@ -65,10 +66,10 @@
     pool.SetMostIdle([this](BackendKey backend) { return MaxIdleConnectionsTo(backend); });
   }
 
-  // The node knows the routing document and some back ends.
+  // True once the node has the routing document and at least one back end.
   bool HasCatalog() const { return routing.Table() != nullptr && dispatcher.Registry().Size() > 0; }
 
-  // Idle connections that this node keeps to the back end.
+  // Maximum number of idle connections that this node keeps to the back end.
   size_t MaxIdleConnectionsTo(BackendKey backend) const {
     const Backend* known = dispatcher.Registry().FindByKey(backend);
     if (known == nullptr || routing.Table() == nullptr) return kMostIdleConnections;
@@ -93,8 +94,8 @@
   RetryService retries;
   StreamService streams;
   int64_t requests_in_flight = 0;
-  bool draining = false;  // the node is to stop; running requests go on
-  bool refusing = false;  // it ends soon: no request is taken any more
+  bool draining = false;  // the node is stopping; running requests continue
+  bool refusing = false;  // the node is about to exit: new requests are refused
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/relay_node.cc
+++ b/libs/relay/src/relay_node.cc
@@ -40,26 +40,26 @@
 
 namespace asio = boost::asio;
 
-constexpr Duration kHousekeeping = milliseconds(500);
+constexpr Duration kHousekeepingInterval = milliseconds(500);
 constexpr char kRetryExtraKey[] = "cartsail/duty/retry-extra";
 constexpr std::string_view kMetricsPath = "/metrics";
-// When a fleet starts as a whole, all nodes ask the few that have the catalog. Those that are
-// refused soon hear of others: a node's link of 10 Mbit/s carries six catalogs of 3,000 back ends
-// within the time that a fetch may take.
-constexpr int kMostCatalogsAtOnce = 6;
-constexpr Duration kPathTick = milliseconds(100);
-constexpr Duration kDrainPoll = milliseconds(50);
-constexpr Duration kGraceMargin = milliseconds(400);  // before the process would be killed
-
-// Of the process's memory; what requests and answers of this node's own hold has a limit of its
-// own.
+// When a whole fleet starts, all nodes fetch the catalog from the few that have it. A node that is
+// refused soon learns of other sources. A link of 10 Mbit/s carries six catalogs of 3,000 back ends
+// within the time limit of a fetch.
+constexpr int kMaxConcurrentCatalogs = 6;
+constexpr Duration kPathCheckInterval = milliseconds(100);
+constexpr Duration kDrainPollInterval = milliseconds(50);
+constexpr Duration kGraceMargin = milliseconds(400);  // left before the process would be killed
+
+// Share of the process's memory for requests bridged for other nodes. This node's own requests and
+// answers have a separate limit.
 constexpr double kBridgeShare = 0.1;
 
 int64_t BridgeMemory(const RelayOptions& options) {
   return static_cast<int64_t>(kBridgeShare * static_cast<double>(options.memory_bytes));
 }
 
-Duration WatchWait(const DocumentLimits& limits, const std::string& node_id) {
+Duration WatchTimeout(const DocumentLimits& limits, const std::string& node_id) {
   const auto spread = std::chrono::duration_cast<milliseconds>(limits.watch_jitter);
   const int64_t spread_ms = std::max<int64_t>(1, spread.count());
   return limits.min_watch + milliseconds(Hash64(node_id) % static_cast<uint64_t>(spread_ms));
@@ -71,7 +71,7 @@
       : deployment_(deployment),
         io_(1),
         context_(io_, options, *deployment.format),
-        store_(deployment.make_store(io_, WatchWait(context_.document_limits, options.node_id))),
+        store_(deployment.make_store(io_, WatchTimeout(context_.document_limits, options.node_id))),
         catalog_(context_, context_.peers, *store_, *deployment.codec, deployment.keys),
         stream_store_(*store_, deployment.keys.stream_prefix, options.node_id),
         recorder_(io_, *store_, deployment.keys.quarantine_prefix, context_.quarantine),
@@ -79,7 +79,7 @@
                      {options.node_id, options.first_start, [this] { return RetryExtraRank(); }}),
         exchange_(context_, catalog_),
         inventory_(context_),
-        warmth_(context_),
+        warmup_prober_(context_),
         server_(context_),
         bridges_(io_, {{options.peer.host, options.BridgePort()}, BridgeMemory(options)},
                  context_.dispatcher, context_.paths, context_.pool),
@@ -131,10 +131,10 @@
     if (context_.options.retry_budget.extra > 0) retry_extra_.Start();
     catalog_.Start();
     inventory_.Start();
-    warmth_.Start();
+    warmup_prober_.Start();
     StartDuties();
     asio::co_spawn(io_, HandleSignals(), asio::detached);
-    asio::co_spawn(io_, KeepHouse(), asio::detached);
+    asio::co_spawn(io_, RunHousekeeping(), asio::detached);
     asio::co_spawn(io_, WatchPaths(), asio::detached);
     return absl::OkStatus();
   }
@@ -161,7 +161,8 @@
     co_return std::make_optional(EngineEntry{(*backend)->version, (*backend)->started_ms});
   }
 
-  // The nodes that may hold the lease on the extra repeats.
+  // This node's rank among the candidates for the lease on the extra retries; nullopt: not among
+  // them.
   std::optional<size_t> RetryExtraRank() const {
     return OwnRank(context_.peers.RankLenders(kRetryExtraPurpose, kDutyCandidates, Now()));
   }
@@ -174,7 +175,7 @@
 
   bool IsReady() const { return !context_.draining && context_.HasCatalog(); }
 
-  void NoteGauges() {
+  void UpdateGauges() {
     const TimePoint now = Now();
     Counters& counters = GlobalCounters();
     counters.ready.Set(IsReady() ? 1 : 0);
@@ -225,7 +226,7 @@
     }
   }
 
-  // What operators' tools read: the whole, or one back end.
+  // The status that operators' tools read: of the node, or of the back end named in the query.
   HttpResponse DescribeSelf(const HttpRequest& request) const {
     HttpResponse response;
     if (context_.routing.Table() == nullptr) {
@@ -256,7 +257,7 @@
     if (path == deployment_.format->Names().ready_path) {
       response.status = IsReady() ? 200 : 503;
     } else if (path == kMetricsPath) {
-      NoteGauges();
+      UpdateGauges();
       response.headers = {{"Content-Type", "text/plain; version=0.0.4"}};
       response.body = RenderCounters(GlobalCounters()) + RenderHistograms(GlobalHistograms());
     } else if (path == kStatusPath) {
@@ -272,22 +273,22 @@
 
   asio::awaitable<void> AnswerCatalog(HttpExchange& exchange) {
     HttpResponse response;
-    if (catalogs_under_way_ >= kMostCatalogsAtOnce) {
+    if (catalogs_in_progress_ >= kMaxConcurrentCatalogs) {
       response.status = 503;
       (void)co_await exchange.Respond(std::move(response));
       co_return;
     }
-    ++catalogs_under_way_;
+    ++catalogs_in_progress_;
     response.body = catalog_.AnswerPeer(exchange.Request());
     GlobalCounters().catalog_bytes_sent_total.Add(static_cast<int64_t>(response.body.size()));
     (void)co_await exchange.Respond(std::move(response));
-    --catalogs_under_way_;
+    --catalogs_in_progress_;
   }
 
-  asio::awaitable<void> KeepHouse() {
+  asio::awaitable<void> RunHousekeeping() {
     Timer timer(io_);
     while (true) {
-      timer.expires_after(kHousekeeping);
+      timer.expires_after(kHousekeepingInterval);
       boost::system::error_code ignored;
       co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
       const TimePoint now = Now();
@@ -306,7 +307,7 @@
   asio::awaitable<void> WatchPaths() {
     Timer timer(io_);
     while (true) {
-      timer.expires_after(kPathTick);
+      timer.expires_after(kPathCheckInterval);
       boost::system::error_code ignored;
       co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
       context_.paths.Tick(Now());
@@ -350,8 +351,8 @@
     if (ok) exchange_.AddSeeds(options->seeds);
   }
 
-  // Unready at once; serves on until the balancer has noticed and all requests have ended, or
-  // the time to stop is over.
+  // Reports unready at once and keeps serving until the balancer has noticed. Then refuses new
+  // requests and stops when all running ones have ended or the grace period is over.
   asio::awaitable<void> Drain() {
     const TimePoint begun = Now();
     context_.draining = true;
@@ -373,7 +374,7 @@
       server_.CloseIdle();
       const bool is_idle = context_.requests_in_flight == 0 && bridges_.InUse() == 0;
       if (is_idle && server_.OpenConnections() == 0) break;
-      timer.expires_after(kDrainPoll);
+      timer.expires_after(kDrainPollInterval);
       co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
     io_.stop();
@@ -389,7 +390,7 @@
   DutyHolder retry_extra_;
   PeerExchange exchange_;
   CacheInventory inventory_;
-  WarmupProber warmth_;
+  WarmupProber warmup_prober_;
   ResidencyAudit residency_audit_;
   RelayServer server_;
   BridgeServer bridges_;
@@ -402,7 +403,7 @@
   std::unique_ptr<HttpServer> metrics_server_;
   asio::signal_set signals_;
   TrafficLog traffic_{Now()};
-  int catalogs_under_way_ = 0;
+  int catalogs_in_progress_ = 0;
 };
 
 }  // namespace
