--- a/libs/relay/src/placement/rate_notices.cc
+++ b/libs/relay/src/placement/rate_notices.cc
@@ -26,8 +26,7 @@
        {"source", source}});
 }
 
-// As NoteRate(), of the requests a second that a brittle back end bears to turn away.
-void NoteBrittle(Dispatcher& dispatcher, BackendKey backend, const RateNotice& word,
+void NoteBrittle(Dispatcher& dispatcher, BackendKey backend, const RateWord& word,
                  const std::string& source) {
   const RateChange change = dispatcher.Registry().NoteBrittle(backend, word);
   if (change == RateChange::kNone) return;
