--- a/libs/relay/src/catalog/catalog_answers.cc
+++ b/libs/relay/src/catalog/catalog_answers.cc
@@ -32,7 +32,7 @@
   StoreUpdate update;
   update.document_version = context_.routing.Version();
   update.confirmed_age = Now() - confirmed;
-  update.list_age = Now() - context_.streams.Processes().ListConfirmed();
+  update.list_age = Now() - context_.streams.ProcessVerifier().ListConfirmed();
   update.changes.drained_zones = context_.dispatcher.Registry().Drains().Zones();
   update.changes.quarantined = context_.quarantine.List().Newest(kMostQuarantinedTold, Now());
   for (const ChangeParcel& parcel : ParcelsSince(since)) {
--- a/libs/relay/src/catalog/catalog_message.cc
+++ b/libs/relay/src/catalog/catalog_message.cc
@@ -104,8 +104,8 @@
   for (unsigned i = 0; i < gone.size(); ++i) gone.set(i, catalog.gone[i]);
   auto drained = root.initDrainedZones(static_cast<unsigned>(catalog.drained_zones.size()));
   for (unsigned i = 0; i < drained.size(); ++i) drained.set(i, catalog.drained_zones[i]);
-  FillQuarantined(catalog.quarantined, now,
-                  root.initQuarantined(static_cast<unsigned>(catalog.quarantined.size())));
+  EncodeQuarantinedList(catalog.quarantined, now,
+                        root.initQuarantined(static_cast<unsigned>(catalog.quarantined.size())));
   auto entries = root.initBackends(static_cast<unsigned>(catalog.backends.size()));
   NameTable names;
   for (unsigned i = 0; i < entries.size(); ++i) {
@@ -123,7 +123,7 @@
   if (root.getSince() >= 0) catalog.since = root.getSince();
   for (const auto id : root.getGone()) catalog.gone.push_back(TextOf(id));
   for (const auto zone : root.getDrainedZones()) catalog.drained_zones.push_back(TextOf(zone));
-  catalog.quarantined = QuarantinedFrom(root.getQuarantined(), now);
+  catalog.quarantined = DecodeQuarantinedList(root.getQuarantined(), now);
   for (const auto entry : root.getBackends()) {
     catalog.backends.push_back(DecodeBackend(entry, root, now));
   }
--- a/libs/relay/src/catalog/catalog_sync.cc
+++ b/libs/relay/src/catalog/catalog_sync.cc
@@ -174,7 +174,7 @@
   if (!asked.has_value()) return;
   // What the list says held when it was asked for; the answer may have been long on its way.
   context_.routing.ConfirmBy(*asked);
-  if (revision_ >= revision) context_.streams.Processes().NoteListConfirmed(*asked);
+  if (revision_ >= revision) context_.streams.ProcessVerifier().NoteListConfirmed(*asked);
   TellUpdate(revision_, *asked);
 }
 
@@ -190,7 +190,7 @@
   const bool has_document = update.document_version <= context_.routing.Version();
   const TimePoint list_held = now - update.list_age.value_or(now - TimePoint());
   if (changes.revision <= revision_) {
-    context_.streams.Processes().NoteListConfirmed(list_held);
+    context_.streams.ProcessVerifier().NoteListConfirmed(list_held);
     return has_document;
   }
   if (revision_ == 0) return false;
@@ -199,7 +199,7 @@
     return false;
   }
   ApplyNext(update, source);
-  context_.streams.Processes().NoteListConfirmed(list_held);
+  context_.streams.ProcessVerifier().NoteListConfirmed(list_held);
   ApplyEarly(source);
   return has_document;
 }
@@ -306,7 +306,7 @@
   const auto is_of_stream = [this](const WatchEvent& event) { return IsOfStream(event); };
   if (!events.empty() && std::all_of(events.begin(), events.end(), is_of_stream)) {
     context_.routing.Confirm(now);
-    context_.streams.Processes().NoteListConfirmed(watch_asked_);
+    context_.streams.ProcessVerifier().NoteListConfirmed(watch_asked_);
     // The others are told as often as by watches that end without an event.
     if (now - told_at_ >= context_.document_limits.least_watch) TellInTurn(now);
     return;
@@ -325,7 +325,7 @@
   }
   for (const WatchEvent& event : events) revision_ = std::max(revision_, event.kv.mod_revision);
   context_.routing.Confirm(now);
-  context_.streams.Processes().NoteListConfirmed(watch_asked_);
+  context_.streams.ProcessVerifier().NoteListConfirmed(watch_asked_);
   encoded_whole_.clear();
   TellInTurn(now);
 }
--- a/libs/relay/src/duties/usage_counting.cc
+++ b/libs/relay/src/duties/usage_counting.cc
@@ -26,7 +26,7 @@
 UsageCounting::UsageCounting(const PeerTable& peers, UsageTerms terms, bool enabled)
     : peers_(peers), terms_(terms), enabled_(enabled), process_(std::random_device{}()) {}
 
-void UsageCounting::NoteRun(const std::string& tenant, TimePoint now) {
+void UsageCounting::NoteStarted(const std::string& tenant, TimePoint now) {
   if (!enabled_ || tenant.empty()) return;
   ledger_.Note(tenant, WindowAt(clock_.At(now), terms_));
 }
--- a/libs/relay/src/duties/usage_counting.h
+++ b/libs/relay/src/duties/usage_counting.h
@@ -35,7 +35,7 @@
   void SetTransport(Transport transport) { transport_ = std::move(transport); }
 
   // A request of `tenant` began to run.
-  void NoteRun(const std::string& tenant, TimePoint now);
+  void NoteStarted(const std::string& tenant, TimePoint now);
 
   // Clocks of the fleet.
   FleetClock& Clock() { return clock_; }
--- a/libs/relay/src/quarantine/quarantine_codec.cc
+++ b/libs/relay/src/quarantine/quarantine_codec.cc
@@ -47,16 +47,16 @@
   return notice;
 }
 
-void FillQuarantined(const std::vector<QuarantinedRequest>& quarantined, TimePoint now,
-                     capnp::List<wire::QuarantineEntry>::Builder list) {
+void EncodeQuarantinedList(const std::vector<QuarantinedRequest>& quarantined, TimePoint now,
+                           capnp::List<wire::QuarantineEntry>::Builder list) {
   for (unsigned i = 0; i < list.size(); ++i) {
     list[i].setRequest(quarantined[i].request);
     list[i].setLeftMs(BoundedTo<uint32_t>(ToMillis(quarantined[i].until - now)));
   }
 }
 
-std::vector<QuarantinedRequest> QuarantinedFrom(capnp::List<wire::QuarantineEntry>::Reader list,
-                                                TimePoint now) {
+std::vector<QuarantinedRequest> DecodeQuarantinedList(
+    capnp::List<wire::QuarantineEntry>::Reader list, TimePoint now) {
   std::vector<QuarantinedRequest> quarantined;
   for (const auto entry : list) {
     quarantined.push_back({entry.getRequest(), now + milliseconds(entry.getLeftMs())});
--- a/libs/relay/src/quarantine/quarantine_codec.h
+++ b/libs/relay/src/quarantine/quarantine_codec.h
@@ -14,9 +14,9 @@
 QuarantineNotice DecodeQuarantine(wire::QuarantineNotice::Reader message);
 
 // As a part of catalogs: times are sent as what is left at `now`.
-void FillQuarantined(const std::vector<QuarantinedRequest>& quarantined, TimePoint now,
-                     capnp::List<wire::QuarantineEntry>::Builder list);
-std::vector<QuarantinedRequest> QuarantinedFrom(capnp::List<wire::QuarantineEntry>::Reader list,
-                                                TimePoint now);
+void EncodeQuarantinedList(const std::vector<QuarantinedRequest>& quarantined, TimePoint now,
+                           capnp::List<wire::QuarantineEntry>::Builder list);
+std::vector<QuarantinedRequest> DecodeQuarantinedList(
+    capnp::List<wire::QuarantineEntry>::Reader list, TimePoint now);
 
 }  // namespace cartsail
--- a/libs/relay/src/quarantine/quarantine_service.cc
+++ b/libs/relay/src/quarantine/quarantine_service.cc
@@ -86,7 +86,7 @@
   if (watches->second.empty()) watches_.erase(watches);
 }
 
-void QuarantineService::NoteRun(RequestFingerprint request, TimePoint now) {
+void QuarantineService::NoteCompleted(RequestFingerprint request, TimePoint now) {
   runs_.Note(request, now);
   if (list_.LeftFor(request, now).has_value()) LiftEverywhere(request, "ran", now);
 }
--- a/libs/relay/src/quarantine/quarantine_service.h
+++ b/libs/relay/src/quarantine/quarantine_service.h
@@ -72,7 +72,7 @@
   void Unwatch(RequestFingerprint request, WatchId watch);
 
   // A back end has run the request to the end.
-  void NoteRun(RequestFingerprint request, TimePoint now);
+  void NoteCompleted(RequestFingerprint request, TimePoint now);
 
   // The connection to a back end broke while it had the request.
   void NoteBroken(RequestFingerprint request, const Backend& backend, TimePoint now);
--- a/libs/relay/src/relay_node.cc
+++ b/libs/relay/src/relay_node.cc
@@ -91,7 +91,7 @@
     context_.peers.SetLends(true);
     context_.peers.SetKeepsStreams(true);
     if (!deployment_.keys.stream_prefix.empty()) context_.streams.SetStore(&stream_store_);
-    context_.streams.Processes().SetEntries(
+    context_.streams.ProcessVerifier().SetEntryReader(
         [this](std::string id) { return ReadEntry(std::move(id)); });
     context_.retries.SetExtraLease([this] { return retry_extra_.Token(); });
     const absl::Status started = Start();
--- a/libs/relay/src/request/exchange.cc
+++ b/libs/relay/src/request/exchange.cc
@@ -281,7 +281,7 @@
   } else if (outcome == AttemptOutcome::kWrongInstance) {
     context_.quarantine.NoteReplaced(placement.backend.key, now);
   } else if (outcome == AttemptOutcome::kAnswered || outcome == AttemptOutcome::kFailedAnswer) {
-    context_.quarantine.NoteRun(fingerprint_, now);
+    context_.quarantine.NoteCompleted(fingerprint_, now);
   }
 }
 
@@ -425,7 +425,7 @@
 AttemptOutcome Exchange::OutcomeOfPath(AttemptOutcome outcome) {
   if (upstream_->WasWithheld()) {
     --history_.attempts;
-    if (repeat_ != nullptr) repeat_->NoteWithheld();
+    if (repeat_ != nullptr) repeat_->NoteNotSent();
     return AttemptOutcome::kWithheld;
   }
   const bool is_of_connection = outcome == AttemptOutcome::kCut;
--- a/libs/relay/src/request/exchange.h
+++ b/libs/relay/src/request/exchange.h
@@ -149,7 +149,7 @@
   AdmittedRequest admitted_;
   std::shared_ptr<const RouteTable> residency_table_;  // from which the data residency was read
   AttemptHistory history_;
-  std::unique_ptr<RepeatTicket> repeat_;  // of the attempt under way, or of the next one
+  std::unique_ptr<RetryTicket> repeat_;  // of the attempt under way, or of the next one
   // Until then bytes of attempts that ended without a word may reach back ends.
   TimePoint unheard_until_{};
   std::vector<BackendKey> tried_;
--- a/libs/relay/src/request/exchange_versions.cc
+++ b/libs/relay/src/request/exchange_versions.cc
@@ -46,12 +46,12 @@
 
 asio::awaitable<bool> Exchange::IsVersionSure() {
   if (begun_here_.version.empty()) co_return true;
-  co_return co_await context_.streams.IsSure(admitted_.profile.service, begun_here_);
+  co_return co_await context_.streams.IsVersionVerified(admitted_.profile.service, begun_here_);
 }
 
 asio::awaitable<bool> Exchange::MayGoOnAt(const Placement& placement) {
   if (stream_version_.empty()) co_return true;
-  co_return co_await context_.streams.MayGoOnAt(placement.backend, upstream_->Connected());
+  co_return co_await context_.streams.MayContinueAt(placement.backend, upstream_->Connected());
 }
 
 asio::awaitable<bool> Exchange::BindVersion(const Placement& placement) {
@@ -76,7 +76,7 @@
   begun_here_.engine = placement.backend.id;
   begun_here_.started_ms = placement.backend.started_ms;
   begun_here_.is_confirmed =
-      context_.streams.Processes().IsKnown(placement.backend, upstream_->Connected());
+      context_.streams.ProcessVerifier().IsListedProcess(placement.backend, upstream_->Connected());
   begun_here_.begun = Now();
   begun_here_.until = deadline_ + kTriesEnd;
   co_await context_.streams.Note(admitted_.profile.service, begun_here_);
--- a/libs/relay/src/retries/retry_service.cc
+++ b/libs/relay/src/retries/retry_service.cc
@@ -80,14 +80,14 @@
   if (stalls_.IsFresh(Now())) BudgetOf(service)->NoteRequest(received);
 }
 
-asio::awaitable<std::unique_ptr<RepeatTicket>> RetryService::Take(const std::string& service) {
+asio::awaitable<std::unique_ptr<RetryTicket>> RetryService::Take(const std::string& service) {
   const std::shared_ptr<ServiceRetryBudget> budget = BudgetOf(service);
   Tally& tally = tallies_[service];
   const TimePoint now = Now();
   const std::optional<RepeatGrant> own = budget->Take(now, ExtraPart(now));
   if (own.has_value()) {
     ++(own->source == RepeatSource::kExtra ? tally.of_extra : tally.of_requests);
-    co_return std::make_unique<RepeatTicket>(budget, *own, "");
+    co_return std::make_unique<RetryTicket>(budget, *own, "");
   }
   std::optional<Loan> loan;
   if (send_) loan = co_await Borrow(service);
@@ -97,7 +97,7 @@
   }
   ++tally.borrowed;
   GlobalCounters().retries_borrowed_total.Add();
-  co_return std::make_unique<RepeatTicket>(budget, loan->grant, loan->lender);
+  co_return std::make_unique<RetryTicket>(budget, loan->grant, loan->lender);
 }
 
 asio::awaitable<std::optional<RetryService::Loan>> RetryService::Borrow(
--- a/libs/relay/src/retries/retry_service.h
+++ b/libs/relay/src/retries/retry_service.h
@@ -21,7 +21,7 @@
 #include "cartsail/retries/stall_watch.h"
 #include "fleet/datagram.h"
 #include "fleet/peer_table.h"
-#include "retries/repeat_ticket.h"
+#include "retries/retry_ticket.h"
 
 namespace cartsail {
 
@@ -53,7 +53,7 @@
 
   // Nothing when neither this node nor one that it asked has a repeat left. May wait some
   // milliseconds for others.
-  boost::asio::awaitable<std::unique_ptr<RepeatTicket>> Take(const std::string& service);
+  boost::asio::awaitable<std::unique_ptr<RetryTicket>> Take(const std::string& service);
 
   void OnQuestion(const std::string& host, const RepeatQuestion& question);
   void OnAnswer(const std::string& host, const RepeatAnswer& answer);
--- a/libs/relay/src/retries/repeat_ticket.cc
+++ b/libs/relay/src/retries/retry_ticket.cc
@@ -1,10 +1,10 @@
-#include "retries/repeat_ticket.h"
+#include "retries/retry_ticket.h"
 
 namespace cartsail {
 
-RepeatTicket::~RepeatTicket() { Close(Now()); }
+RetryTicket::~RetryTicket() { Close(Now()); }
 
-void RepeatTicket::Close(TimePoint arrives_by) {
+void RetryTicket::Close(TimePoint arrives_by) {
   if (is_ended_) return;
   is_ended_ = true;
   if (is_sent_) {
--- a/libs/relay/src/retries/repeat_ticket.h
+++ b/libs/relay/src/retries/retry_ticket.h
@@ -10,18 +10,18 @@
 
 namespace cartsail {
 
-class RepeatTicket {
+class RetryTicket {
  public:
   // `lender`: the node that lent it; empty: none.
-  RepeatTicket(std::shared_ptr<ServiceRetryBudget> budget, const RepeatGrant& grant,
-               std::string lender)
+  RetryTicket(std::shared_ptr<ServiceRetryBudget> budget, const RepeatGrant& grant,
+              std::string lender)
       : budget_(std::move(budget)), grant_(grant), lender_(std::move(lender)) {}
 
   // Ends as sent now, or as not sent.
-  ~RepeatTicket();
+  ~RetryTicket();
 
-  RepeatTicket(const RepeatTicket&) = delete;
-  RepeatTicket& operator=(const RepeatTicket&) = delete;
+  RetryTicket(const RetryTicket&) = delete;
+  RetryTicket& operator=(const RetryTicket&) = delete;
 
   const RepeatGrant& Grant() const { return grant_; }
   const std::string& Lender() const { return lender_; }
@@ -31,7 +31,7 @@
   void NoteSent() { is_sent_ = true; }
 
   // What was told as sent was not sent after all.
-  void NoteWithheld() { is_sent_ = false; }
+  void NoteNotSent() { is_sent_ = false; }
 
   // It has reached a back end by `arrives_by`, or never will.
   void Close(TimePoint arrives_by);
--- a/libs/relay/src/streams/engine_processes.cc
+++ b/libs/relay/src/streams/engine_process_verifier.cc
@@ -1,4 +1,4 @@
-#include "streams/engine_processes.h"
+#include "streams/engine_process_verifier.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -22,12 +22,12 @@
 }  // namespace
 
 // What a node reads after it stood still was written before, and ages told in it have grown since.
-void EngineProcesses::NoteListConfirmed(TimePoint then) {
+void EngineProcessVerifier::NoteListConfirmed(TimePoint then) {
   if (stalls_.IsFresh(Now())) list_confirmed_ = std::max(list_confirmed_, then);
 }
 
-bool EngineProcesses::IsListConfirmed(const std::string& id, int64_t started_ms,
-                                      TimePoint since) const {
+bool EngineProcessVerifier::IsListConfirmed(const std::string& id, int64_t started_ms,
+                                            TimePoint since) const {
   const Backend* listed = registry_.Find(id);
   return listed != nullptr && listed->started_ms == started_ms &&
          list_confirmed_ - kEntryLag >= since;
@@ -35,34 +35,35 @@
 
 // One that does not tell its start has another id at each of them: it refuses what is meant for the
 // process before.
-bool EngineProcesses::IsKnown(const Backend& backend, TimePoint connected) const {
+bool EngineProcessVerifier::IsListedProcess(const Backend& backend, TimePoint connected) const {
   const bool may_keep_id = backend.started_ms != 0;
   return !may_keep_id || IsListConfirmed(backend.id, backend.started_ms, connected);
 }
 
-asio::awaitable<bool> EngineProcesses::IsAsListed(Backend backend, TimePoint connected) {
-  if (!read_entry_ || IsKnown(backend, connected)) co_return true;
+asio::awaitable<bool> EngineProcessVerifier::HasListedVersion(Backend backend,
+                                                              TimePoint connected) {
+  if (!read_entry_ || IsListedProcess(backend, connected)) co_return true;
   const absl::StatusOr<std::optional<EngineEntry>> entry = co_await ReadNow(backend.id);
   co_return entry.ok() && entry->has_value() && (*entry)->version == backend.version;
 }
 
-bool EngineProcesses::IsConfirmed(const StreamRecord& stream) const {
+bool EngineProcessVerifier::IsConfirmed(const StreamRecord& stream) const {
   return stream.is_confirmed || IsListConfirmed(stream.engine, stream.started_ms, stream.begun);
 }
 
-asio::awaitable<bool> EngineProcesses::IsOfItsVersion(StreamRecord stream) {
+asio::awaitable<bool> EngineProcessVerifier::HasRecordedVersion(StreamRecord stream) {
   if (!read_entry_ || IsConfirmed(stream)) co_return true;
   const absl::StatusOr<std::optional<EngineEntry>> entry = co_await ReadNow(stream.engine);
   co_return entry.ok() && entry->has_value() && BeganStream(**entry, stream);
 }
 
-asio::awaitable<void> EngineProcesses::ReadInto(std::string id,
-                                                std::shared_ptr<EntryReading> reading) {
+asio::awaitable<void> EngineProcessVerifier::ReadInto(std::string id,
+                                                      std::shared_ptr<EntryReading> reading) {
   reading->entry = co_await read_entry_(std::move(id));
   reading->has_ended = true;
 }
 
-asio::awaitable<absl::StatusOr<std::optional<EngineEntry>>> EngineProcesses::ReadNow(
+asio::awaitable<absl::StatusOr<std::optional<EngineEntry>>> EngineProcessVerifier::ReadNow(
     std::string id) {
   const TimePoint last = Now() + kEntryPatience;
   auto reading = std::make_shared<EntryReading>();
--- a/libs/relay/src/streams/engine_processes.h
+++ b/libs/relay/src/streams/engine_process_verifier.h
@@ -21,18 +21,18 @@
 
 namespace cartsail {
 
-class EngineProcesses {
+class EngineProcessVerifier {
  public:
   // Reads the entry of an engine as the store has it; nothing in the status where there is none.
   using ReadEntry =
       std::function<boost::asio::awaitable<absl::StatusOr<std::optional<EngineEntry>>>(
           std::string id)>;
 
-  EngineProcesses(boost::asio::io_context& io, const BackendRegistry& registry)
+  EngineProcessVerifier(boost::asio::io_context& io, const BackendRegistry& registry)
       : io_(io), registry_(registry) {}
 
   // Without one the list of engines is taken for true.
-  void SetEntries(ReadEntry read) { read_entry_ = std::move(read); }
+  void SetEntryReader(ReadEntry read) { read_entry_ = std::move(read); }
 
   // To be called every StallWatch::kInterval.
   void Beat(TimePoint now) { stalls_.Beat(now); }
@@ -43,18 +43,18 @@
 
   // The list tells, without a question, that the process to which a connection was made at
   // `connected` is the listed one.
-  bool IsKnown(const Backend& backend, TimePoint connected) const;
+  bool IsListedProcess(const Backend& backend, TimePoint connected) const;
 
   // The process to which a connection was made at `connected` is of the version that is listed. May
   // wait for the store.
-  boost::asio::awaitable<bool> IsAsListed(Backend backend, TimePoint connected);
+  boost::asio::awaitable<bool> HasListedVersion(Backend backend, TimePoint connected);
 
   // The list tells that the process which wrote the stream's first event is the recorded one.
   bool IsConfirmed(const StreamRecord& stream) const;
 
   // The process that wrote the stream's first event is of the recorded version. May wait for the
   // store.
-  boost::asio::awaitable<bool> IsOfItsVersion(StreamRecord stream);
+  boost::asio::awaitable<bool> HasRecordedVersion(StreamRecord stream);
 
  private:
   struct EntryReading {
--- a/libs/relay/src/streams/stream_service.cc
+++ b/libs/relay/src/streams/stream_service.cc
@@ -96,18 +96,18 @@
 }
 
 // Only beside another version a process may have been taken for another one's.
-asio::awaitable<bool> StreamService::IsSure(std::string service, StreamRecord stream) {
+asio::awaitable<bool> StreamService::IsVersionVerified(std::string service, StreamRecord stream) {
   const TimePoint now = Now();
   if (!IsMixed(service, now)) co_return true;
   const StreamRecord* known = own_.Find(stream.key, now);
   if (known == nullptr) known = kept_.Find(stream.key, now);
   if (known != nullptr && known->is_confirmed) co_return true;
-  co_return co_await processes_.IsOfItsVersion(std::move(stream));
+  co_return co_await processes_.HasRecordedVersion(std::move(stream));
 }
 
-asio::awaitable<bool> StreamService::MayGoOnAt(Backend backend, TimePoint connected) {
+asio::awaitable<bool> StreamService::MayContinueAt(Backend backend, TimePoint connected) {
   if (!IsMixed(backend.service, Now())) co_return true;
-  co_return co_await processes_.IsAsListed(std::move(backend), connected);
+  co_return co_await processes_.HasListedVersion(std::move(backend), connected);
 }
 
 bool StreamService::IsOutOfTouch(TimePoint now) const { return !routing_.IsFresh(now, fresh_for_); }
@@ -174,7 +174,7 @@
       found = co_await FindHere(service, stream, std::min(deadline, Now() + kFindPatience));
   }
   if (!found.is_yes || found.record.version.empty()) co_return lookup;
-  if (!co_await IsSure(service, found.record)) co_return lookup;
+  if (!co_await IsVersionVerified(service, found.record)) co_return lookup;
   lookup.source = found.source;
   lookup.version = found.record.version;
   if (own == nullptr) own_.Note(service, found.record, Now());
--- a/libs/relay/src/streams/stream_service.h
+++ b/libs/relay/src/streams/stream_service.h
@@ -28,7 +28,7 @@
 #include "cartsail/streams/version_ledger.h"
 #include "fleet/datagram.h"
 #include "fleet/peer_table.h"
-#include "streams/engine_processes.h"
+#include "streams/engine_process_verifier.h"
 #include "streams/stream_store.h"
 
 namespace cartsail {
@@ -74,13 +74,13 @@
 
   // The process that wrote the stream's first event is of the version that was taken for it. May
   // wait for the store.
-  boost::asio::awaitable<bool> IsSure(std::string service, StreamRecord stream);
+  boost::asio::awaitable<bool> IsVersionVerified(std::string service, StreamRecord stream);
 
   // A stream may go on over a connection to the back end that was made at `connected`: the process
   // there is of the version that is listed. May wait for the store.
-  boost::asio::awaitable<bool> MayGoOnAt(Backend backend, TimePoint connected);
+  boost::asio::awaitable<bool> MayContinueAt(Backend backend, TimePoint connected);
 
-  EngineProcesses& Processes() { return processes_; }
+  EngineProcessVerifier& ProcessVerifier() { return processes_; }
 
   void OnQuestion(const std::string& host, const StreamQuestion& question);
   void OnAnswer(const std::string& host, const StreamAnswer& answer);
@@ -160,7 +160,7 @@
   Duration fresh_for_;
   Send send_;
   StreamStore* store_ = nullptr;
-  EngineProcesses processes_;
+  EngineProcessVerifier processes_;
   TimePoint started_;
   StreamRecords own_;
   StreamRecords kept_;
--- a/libs/relay/tests/quarantine_service_test.cc
+++ b/libs/relay/tests/quarantine_service_test.cc
@@ -163,7 +163,7 @@
   const QuarantineNotice question = {kRequest, false, {}, seconds(1), {}, {}};
   node.service.OnNotice(question, Now());
   cr_assert(node.told.empty() && !node.IsKept());
-  node.service.NoteRun(kRequest, Now());
+  node.service.NoteCompleted(kRequest, Now());
   node.service.OnNotice(question, Now());
   cr_assert(node.told.size() >= 2);
   for (const auto& [host, notice] : node.told) cr_assert(notice.is_lifted);
@@ -192,7 +192,7 @@
 // A popular request runs wherever a back end ends.
 Test(quarantine_service, a_request_that_has_just_run_here_is_not_held_responsible) {
   Node node;
-  node.service.NoteRun(kRequest, Now());
+  node.service.NoteCompleted(kRequest, Now());
   for (int i = 0; i < 4; ++i) node.End(i);
   cr_assert(!node.IsKept() && node.strikes.empty());
 }
@@ -200,7 +200,7 @@
 // The nodes that count had not seen it run; one that had says so.
 Test(quarantine_service, a_node_that_has_seen_it_run_since_lifts_it) {
   Node node;
-  node.service.NoteRun(kRequest, Now());
+  node.service.NoteCompleted(kRequest, Now());
   node.service.OnNotice({kRequest, false, seconds(600), seconds(5), {1, 2, 3}, {}}, Now());
   node.RunFor(milliseconds(1));
   cr_assert(!node.IsKept());
@@ -209,7 +209,7 @@
 
 Test(quarantine_service, a_run_before_the_first_end_does_not_lift_it) {
   Node node;
-  node.service.NoteRun(kRequest, Now() - seconds(8));
+  node.service.NoteCompleted(kRequest, Now() - seconds(8));
   node.service.OnNotice({kRequest, false, seconds(600), seconds(5), {1, 2, 3}, {}}, Now());
   cr_assert(node.IsKept());
 }
@@ -217,7 +217,7 @@
 Test(quarantine_service, one_under_way_that_ends_well_lifts_it) {
   Node node;
   for (int i = 0; i < 3; ++i) node.End(i);
-  node.service.NoteRun(kRequest, Now());
+  node.service.NoteCompleted(kRequest, Now());
   node.RunFor(milliseconds(1));
   cr_assert(!node.IsKept() && node.notices.back().is_lifted);
 }
@@ -257,7 +257,7 @@
   for (int i = 0; i < 3; ++i) node.End(i);
   node.RunFor(seconds(3));
   cr_assert(store.Find(kRecord) != nullptr);
-  node.service.NoteRun(kRequest, Now());
+  node.service.NoteCompleted(kRequest, Now());
   node.RunFor(seconds(1));
   cr_assert(store.Find(kRecord) == nullptr);
 }
--- a/libs/relay/tests/retry_service_test.cc
+++ b/libs/relay/tests/retry_service_test.cc
@@ -66,8 +66,8 @@
   // Its messages reach nobody, and none reach it.
   void CutOff(const std::string& host) { cut_off_ = host; }
 
-  std::unique_ptr<RepeatTicket> Take(int node) {
-    std::unique_ptr<RepeatTicket> ticket;
+  std::unique_ptr<RetryTicket> Take(int node) {
+    std::unique_ptr<RetryTicket> ticket;
     bool done = false;
     const std::string service = kService;
     const auto take = [&]() -> asio::awaitable<void> {
@@ -163,7 +163,7 @@
   cr_assert(network.Take(3) == nullptr, "its predecessor's repeats still count");
   const TimePoint end = Now() + ExtraWait(Options()) + milliseconds(300);
   while (Now() < end) std::this_thread::sleep_for(milliseconds(10));
-  std::vector<std::unique_ptr<RepeatTicket>> tickets;
+  std::vector<std::unique_ptr<RetryTicket>> tickets;
   for (int i = 0; i < 8; ++i) tickets.push_back(network.Take(i % kNodes));
   int granted = 0;
   for (const auto& ticket : tickets) granted += ticket != nullptr ? 1 : 0;
--- a/libs/relay/tests/usage_counting_test.cc
+++ b/libs/relay/tests/usage_counting_test.cc
@@ -107,8 +107,8 @@
   fleet.Run(seconds(1));
   const WindowNumber window = fleet.Running();
   for (auto& [host, node] : fleet.nodes) {
-    node->counting.NoteRun("x", fleet.now);
-    node->counting.NoteRun("y", fleet.now);
+    node->counting.NoteStarted("x", fleet.now);
+    node->counting.NoteStarted("y", fleet.now);
   }
   fleet.Run(seconds(7));
   cr_assert(fleet.Candidates().size() == kDutyCandidates);
@@ -125,7 +125,7 @@
   fleet.drop = [&sent](const std::string&, const std::string&) { return ++sent % 3 != 0; };
   fleet.Run(seconds(1));
   const WindowNumber window = fleet.Running();
-  for (auto& [host, node] : fleet.nodes) node->counting.NoteRun("x", fleet.now);
+  for (auto& [host, node] : fleet.nodes) node->counting.NoteStarted("x", fleet.now);
   fleet.Run(seconds(12));
   for (const CountingFleet::Node* candidate : fleet.Candidates()) {
     cr_assert(candidate->counting.Collected().Total(window) == TenantCounts({{"x", 6}}));
@@ -145,7 +145,7 @@
             .has_value();
     if (!is_candidate) lost = host;
   }
-  for (int i = 0; i < 20; ++i) fleet.nodes.at(lost)->counting.NoteRun("x", fleet.now);
+  for (int i = 0; i < 20; ++i) fleet.nodes.at(lost)->counting.NoteStarted("x", fleet.now);
   fleet.Run(milliseconds(800));
   fleet.drop = [&lost](const std::string& from, const std::string&) { return from == lost; };
   fleet.Run(seconds(6));
@@ -162,7 +162,7 @@
   fleet.Run(seconds(1));
   const int64_t before = fleet.messages;
   for (int second = 0; second < 10; ++second) {
-    for (auto& [host, node] : fleet.nodes) node->counting.NoteRun("x", fleet.now);
+    for (auto& [host, node] : fleet.nodes) node->counting.NoteStarted("x", fleet.now);
     fleet.Run(seconds(1));
   }
   // Half of the messages for ended windows are receipts.
@@ -179,7 +179,7 @@
     for (auto& [host, node] : fleet.nodes) {
       for (int i = 0; i < 33; ++i) {
         const std::string tenant = "tenant" + std::to_string(10000 + second * 33 + i);
-        node->counting.NoteRun(tenant, fleet.now);
+        node->counting.NoteStarted(tenant, fleet.now);
       }
     }
     fleet.Run(seconds(1));
