--- a/libs/relay/src/streams/engine_process_verifier.cc
+++ b/libs/relay/src/streams/engine_process_verifier.cc
@@ -14,14 +14,15 @@
 
 namespace asio = boost::asio;
 
-// From the start of an engine until its entry stands.
+// Allowance for the time from an engine's start until its entry is in the store.
 constexpr Duration kEntryLag = milliseconds(100);
-constexpr Duration kEntryPatience = milliseconds(300);
-constexpr Duration kReadPoll = milliseconds(2);
+constexpr Duration kEntryTimeout = milliseconds(300);
+constexpr Duration kReadPollInterval = milliseconds(2);
 
 }  // namespace
 
-// What a node reads after it stood still was written before, and ages told in it have grown since.
+// After a stall this process reads messages that were written before it, and the ages stated in
+// them have grown since. They confirm nothing.
 void EngineProcessVerifier::NoteListConfirmed(TimePoint then) {
   if (stalls_.IsFresh(Now())) list_confirmed_ = std::max(list_confirmed_, then);
 }
@@ -33,8 +34,8 @@
          list_confirmed_ - kEntryLag >= since;
 }
 
-// One that does not tell its start has another id at each of them: it refuses what is meant for the
-// process before.
+// An engine that states no start time has a new id at each start and refuses what is addressed to
+// an earlier process, so its id identifies the process.
 bool EngineProcessVerifier::IsListedProcess(const Backend& backend, TimePoint connected) const {
   const bool may_keep_id = backend.started_ms != 0;
   return !may_keep_id || IsListConfirmed(backend.id, backend.started_ms, connected);
@@ -57,26 +58,27 @@
   co_return entry.ok() && entry->has_value() && BeganStream(**entry, stream);
 }
 
-asio::awaitable<void> EngineProcessVerifier::ReadInto(std::string id,
-                                                      std::shared_ptr<EntryReading> reading) {
-  reading->entry = co_await read_entry_(std::move(id));
-  reading->has_ended = true;
+asio::awaitable<void> EngineProcessVerifier::ReadEntryInto(std::string id,
+                                                           std::shared_ptr<EntryRead> entry_read) {
+  entry_read->entry = co_await read_entry_(std::move(id));
+  entry_read->is_done = true;
 }
 
 asio::awaitable<absl::StatusOr<std::optional<EngineEntry>>> EngineProcessVerifier::ReadNow(
     std::string id) {
-  const TimePoint last = Now() + kEntryPatience;
-  auto reading = std::make_shared<EntryReading>();
-  asio::co_spawn(io_, ReadInto(id, reading), asio::detached);
+  const TimePoint deadline = Now() + kEntryTimeout;
+  auto entry_read = std::make_shared<EntryRead>();
+  asio::co_spawn(io_, ReadEntryInto(id, entry_read), asio::detached);
   Timer timer(io_);
-  while (!reading->has_ended && Now() < last) {
-    timer.expires_after(kReadPoll);
+  while (!entry_read->is_done && Now() < deadline) {
+    timer.expires_after(kReadPollInterval);
     boost::system::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
-  if (reading->has_ended && reading->entry.ok()) co_return reading->entry;
-  const std::string why = reading->has_ended ? std::string(reading->entry.status().message())
-                                             : std::string("no answer in time");
+  if (entry_read->is_done && entry_read->entry.ok()) co_return entry_read->entry;
+  const std::string why = entry_read->is_done
+                              ? std::string(entry_read->entry.status().message())
+                              : std::string("no answer from the store before the timeout");
   Log(LogLevel::kWarning, "engine_entry_not_read", {{"backend", id}, {"why", why}});
   co_return MakeError(ErrorKind::kPlatformUnavailable, why);
 }
--- a/libs/relay/src/streams/engine_process_verifier.h
+++ b/libs/relay/src/streams/engine_process_verifier.h
@@ -1,6 +1,6 @@
-// Whether the process behind an engine's id is the one that is listed. Where engines may keep their
-// ids when they start again, perhaps with another version, a list that is older than a connection
-// or an event tells nothing of the process at the other end. One thread.
+// Verifies that the process behind an engine's id is the listed one. Engines may keep their ids
+// across restarts and come back with another version, so a list that is older than a connection or
+// an event says nothing about the process at the other end. Not thread-safe.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -23,7 +23,7 @@
 
 class EngineProcessVerifier {
  public:
-  // Reads the entry of an engine as the store has it; nothing in the status where there is none.
+  // Reads an engine's entry from the store; yields nullopt when the store has none.
   using ReadEntry =
       std::function<boost::asio::awaitable<absl::StatusOr<std::optional<EngineEntry>>>(
           std::string id)>;
@@ -31,41 +31,42 @@
   EngineProcessVerifier(boost::asio::io_context& io, const BackendRegistry& registry)
       : io_(io), registry_(registry) {}
 
-  // Without one the list of engines is taken for true.
+  // Without an entry reader the list of engines is trusted as it is.
   void SetEntryReader(ReadEntry read) { read_entry_ = std::move(read); }
 
-  // To be called every StallWatch::kInterval.
+  // Must be called every StallWatch::kInterval.
   void Beat(TimePoint now) { stalls_.Beat(now); }
 
-  // The list of engines was the store's at `then`, as this node reads now.
+  // This node has just read that its list of engines matched the store at `then`.
   void NoteListConfirmed(TimePoint then);
   TimePoint ListConfirmed() const { return list_confirmed_; }
 
-  // The list tells, without a question, that the process to which a connection was made at
-  // `connected` is the listed one.
+  // True when the list alone proves that a connection made at `connected` leads to the listed
+  // process.
   bool IsListedProcess(const Backend& backend, TimePoint connected) const;
 
-  // The process to which a connection was made at `connected` is of the version that is listed. May
-  // wait for the store.
+  // True when the process to which a connection was made at `connected` has the listed version.
+  // May wait for the store; false when the store does not answer.
   boost::asio::awaitable<bool> HasListedVersion(Backend backend, TimePoint connected);
 
-  // The list tells that the process which wrote the stream's first event is the recorded one.
+  // True when the list proves that the recorded process wrote the stream's first event.
   bool IsConfirmed(const StreamRecord& stream) const;
 
-  // The process that wrote the stream's first event is of the recorded version. May wait for the
-  // store.
+  // True when the process that wrote the stream's first event has the recorded version. May wait
+  // for the store; false when the store does not answer.
   boost::asio::awaitable<bool> HasRecordedVersion(StreamRecord stream);
 
  private:
-  struct EntryReading {
-    bool has_ended = false;
+  struct EntryRead {
+    bool is_done = false;
     absl::StatusOr<std::optional<EngineEntry>> entry;
   };
 
   bool IsListConfirmed(const std::string& id, int64_t started_ms, TimePoint since) const;
-  // As the store has it now; an error where it does not tell in time.
+  // Reads the current entry of engine `id`; fails when the store does not answer within
+  // kEntryTimeout.
   boost::asio::awaitable<absl::StatusOr<std::optional<EngineEntry>>> ReadNow(std::string id);
-  boost::asio::awaitable<void> ReadInto(std::string id, std::shared_ptr<EntryReading> reading);
+  boost::asio::awaitable<void> ReadEntryInto(std::string id, std::shared_ptr<EntryRead> entry_read);
 
   boost::asio::io_context& io_;
   const BackendRegistry& registry_;
--- a/libs/relay/src/streams/stream_codec.h
+++ b/libs/relay/src/streams/stream_codec.h
@@ -1,5 +1,5 @@
-// Encodes what nodes ask and tell each other of begun streams. Times are sent as what is left at
-// `now`. Pure.
+// Cap'n Proto encoding of the messages that nodes exchange about started streams. Points in time
+// are sent as the remaining time or the age at `now`. Pure.
 #pragma once
 
 #include <optional>
@@ -14,7 +14,7 @@
 void EncodeStreamAnswer(const StreamAnswer& answer, TimePoint now,
                         wire::Datagram::Builder datagram);
 
-// Nothing when it is of a later build.
+// Return nullopt when the kind or the source is unknown: the message is from a later build.
 std::optional<StreamQuestion> DecodeStreamQuestion(wire::StreamQuestion::Reader root,
                                                    TimePoint now);
 std::optional<StreamAnswer> DecodeStreamAnswer(wire::StreamAnswer::Reader root, TimePoint now);
--- a/libs/relay/src/streams/stream_message.h
+++ b/libs/relay/src/streams/stream_message.h
@@ -1,5 +1,5 @@
-// What nodes ask and tell each other of begun streams and of the versions at which they may begin.
-// Plain structs.
+// Messages that nodes exchange about started streams and about the versions at which streams may
+// start. Plain structs.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +12,12 @@
 namespace cartsail {
 
 enum class StreamQuestionKind : uint8_t {
-  kKeep,      // keeps `records`
-  kFind,      // at which version was `stream` begun?
-  kMayBegin,  // may streams begin at `version`?
+  kKeep,      // store `records`
+  kFind,      // at which version was `stream` started?
+  kMayBegin,  // may streams start at `version`?
 };
 
-inline constexpr uint8_t kStreamQuestionKinds = 3;  // the number of them
+inline constexpr uint8_t kStreamQuestionKinds = 3;  // number of enumerators
 
 struct StreamQuestion {
   uint32_t id = 0;
@@ -28,26 +28,26 @@
   std::string version;
 };
 
-// How the version of a begun stream is known.
+// How the version of a started stream is known.
 enum class VersionSource : uint8_t {
-  kNone,          // it is not
-  kOwnRecord,     // this node passed the stream on, or was told of it before
-  kPeerRecord,    // another node was told of it
-  kStoredRecord,  // the store has it
-  kOnlyVersion,   // streams of the service have begun at no other version
+  kNone,          // unknown
+  kOwnRecord,     // this node relayed the stream or had its record already
+  kPeerRecord,    // another node had its record
+  kStoredRecord,  // the store had its record
+  kOnlyVersion,   // streams of the service have started at no other version
 };
 
-inline constexpr uint8_t kVersionSources = 5;  // the number of them
+inline constexpr uint8_t kVersionSources = 5;  // number of enumerators
 
 std::string_view VersionSourceName(VersionSource source);
 
 struct StreamAnswer {
   uint32_t id = 0;      // of the question
-  bool is_yes = false;  // kept, found, or it may
-  StreamRecord record;  // the stream, where it was asked for and found
+  bool is_yes = false;  // stored, found or permitted
+  StreamRecord record;  // kFind: of the stream; empty when not found
   VersionSource source = VersionSource::kNone;
-  uint32_t ledger_size = 0;  // versions in the ledger; 0: not known
-  Duration holds{};          // a permission
+  uint32_t ledger_size = 0;  // versions in the ledger; 0: unknown
+  Duration holds{};          // kMayBegin: remaining validity of the permission
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/streams/stream_replication.cc
+++ b/libs/relay/src/streams/stream_replication.cc
@@ -1,5 +1,5 @@
-// Who keeps begun streams for others, what keepers are told, and what the first one writes into the
-// store.
+// Replication of stream records: which nodes keep them, which records keepers receive, and what the
+// first keeper writes to the store.
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -14,51 +14,52 @@
 
 namespace asio = boost::asio;
 
-constexpr char kKeepingPurpose[] = "streams ";
-constexpr size_t kKeepersAsked = 3;  // the ranking may just have changed
+constexpr char kKeeperPurpose[] = "streams ";
+constexpr size_t kKeepersAsked = 3;  // one more than are told: the ranking may just have changed
 constexpr Duration kSaveInterval = milliseconds(250);
 constexpr Duration kPruneInterval = std::chrono::minutes(1);
-constexpr size_t kRecordsInMessage = 16;  // of 70 bytes: one packet
+constexpr size_t kRecordsPerMessage = 16;  // of 70 bytes each, to fit one packet
 
 }  // namespace
 
-// Hosts, or "" for this node.
+// Returns hosts, with "" for this node.
 std::vector<std::string> StreamService::Keepers(const std::string& service, TimePoint now) const {
-  return peers_.RankStreamKeepers(kKeepingPurpose + service, kKeepersAsked, now);
+  return peers_.RankStreamKeepers(kKeeperPurpose + service, kKeepersAsked, now);
 }
 
 bool StreamService::IsFirstKeeper(const std::string& service, TimePoint now) const {
   return OwnRank(Keepers(service, now)) == 0U;
 }
 
-void StreamService::Keep(const std::string& service, const StreamRecord& record, TimePoint now) {
-  kept_.Note(service, record, now);
+void StreamService::AcceptRecord(const std::string& service, const StreamRecord& record,
+                                 TimePoint now) {
+  kept_records_.Note(service, record, now);
   if (saving_.contains(service)) unsaved_[service].push_back(record);
 }
 
-// Whoever becomes a keeper, and every keeper once records begin to count, learns of all streams of
-// this node.
-void StreamService::TellAll(const std::string& service, TimePoint now) {
+// Sends all of this node's records to each node that becomes a keeper, and to every keeper once
+// recording starts.
+void StreamService::SyncKeepers(const std::string& service, TimePoint now) {
   if (!IsRecording(service, now)) {
-    told_.erase(service);
+    synced_keepers_.erase(service);
     return;
   }
   std::vector<std::string> keepers = Keepers(service, now);
-  if (keepers.size() > kKeepersTold) keepers.resize(kKeepersTold);
-  const std::vector<std::string> told = std::exchange(told_[service], keepers);
+  if (keepers.size() > kReplicas) keepers.resize(kReplicas);
+  const std::vector<std::string> synced = std::exchange(synced_keepers_[service], keepers);
   std::vector<StreamRecord> records;
   for (const std::string& host : keepers) {
-    if (std::find(told.begin(), told.end(), host) != told.end()) continue;
-    if (records.empty()) records = own_.Of(service, now);
+    if (std::find(synced.begin(), synced.end(), host) != synced.end()) continue;
+    if (records.empty()) records = own_records_.Of(service, now);
     for (const StreamRecord& record : records) {
-      if (host.empty()) Keep(service, record, now);
+      if (host.empty()) AcceptRecord(service, record, now);
     }
     if (host.empty() || !send_) continue;
-    for (size_t i = 0; i < records.size(); i += kRecordsInMessage) {
+    for (size_t i = 0; i < records.size(); i += kRecordsPerMessage) {
       StreamQuestion question;
       question.id = next_question_++;
       question.service = service;
-      const size_t end = std::min(records.size(), i + kRecordsInMessage);
+      const size_t end = std::min(records.size(), i + kRecordsPerMessage);
       question.records.assign(records.begin() + static_cast<int64_t>(i),
                               records.begin() + static_cast<int64_t>(end));
       send_(host, question);
@@ -77,33 +78,33 @@
       unsaved_.erase(service);
       continue;
     }
-    if (saving_.insert(service).second) unsaved_[service] = kept_.Of(service, now);
+    if (saving_.insert(service).second) unsaved_[service] = kept_records_.Of(service, now);
     if (!unsaved_[service].empty()) asio::co_spawn(io_, Save(service), asio::detached);
     if (prunes && size > 1) asio::co_spawn(io_, Prune(service), asio::detached);
   }
 }
 
 asio::awaitable<void> StreamService::Save(std::string service) {
-  if (!saves_under_way_.insert(service).second) co_return;
+  if (!saves_in_progress_.insert(service).second) co_return;
   std::vector<StreamRecord> records = std::exchange(unsaved_[service], {});
   const TimePoint now = Now();
   std::erase_if(records, [now](const StreamRecord& record) { return record.until <= now; });
   const absl::Status saved = co_await store_->Save(service, records);
-  saves_under_way_.erase(service);
+  saves_in_progress_.erase(service);
   if (saved.ok()) co_return;
   GlobalCounters().stream_saves_failed_total.Add();
   Log(LogLevel::kWarning, "streams_not_saved",
       {{"service", service},
        {"streams", std::to_string(records.size())},
        {"why", std::string(saved.message())}});
-  // Once more with the next ones, while this node saves.
+  // The next save retries these records if this node still saves the service's records.
   if (!saving_.contains(service)) co_return;
   std::vector<StreamRecord>& unsaved = unsaved_[service];
   unsaved.insert(unsaved.end(), records.begin(), records.end());
   if (unsaved.size() > StreamRecords::kMost) unsaved.clear();
 }
 
-// Only a node that has seen every version of the time may tell that one is gone.
+// Only a node that has seen every version listed within kVersionKept may remove one.
 asio::awaitable<void> StreamService::Prune(std::string service) {
   const TimePoint now = Now();
   if (now - started_ < kVersionKept || IsOutOfTouch(now)) co_return;
--- a/libs/relay/src/streams/stream_service.cc
+++ b/libs/relay/src/streams/stream_service.cc
@@ -15,16 +15,17 @@
 
 namespace asio = boost::asio;
 
-// A question or its answer may be lost: it is sent again after this.
-constexpr Duration kFirstPatience = milliseconds(10);
-// The first event of a stream waits for no longer.
-constexpr Duration kTellPatience = milliseconds(30);
-constexpr Duration kFindPatience = milliseconds(300);
+// A question or its answer may be lost: unanswered questions are sent once more after this time.
+constexpr Duration kResendDelay = milliseconds(10);
+// Limit for which a stream's first event waits for the keepers.
+constexpr Duration kReplicationTimeout = milliseconds(30);
+constexpr Duration kLookupTimeout = milliseconds(300);
 constexpr Duration kTick = StallWatch::kInterval;
-// What is listed all the time is noted so often.
-constexpr Duration kFollowAgain = seconds(10);
-// A list of 3,000 engines that changes all the time is gone through ten times a second.
-constexpr Duration kFollowedPerEngine = std::chrono::microseconds(33);
+// Interval at which an unchanged registry is scanned, to renew when versions were last listed.
+constexpr Duration kRescanInterval = seconds(10);
+// Least interval between scans for each listed engine: a registry of 3,000 engines that changes all
+// the time is scanned ten times a second.
+constexpr Duration kScanIntervalPerEngine = std::chrono::microseconds(33);
 
 }  // namespace
 
@@ -36,7 +37,7 @@
       registry_(registry),
       routing_(routing),
       fresh_for_(fresh_for),
-      processes_(io, registry),
+      process_verifier_(io, registry),
       started_(Now()),
       next_question_(std::random_device{}()) {}
 
@@ -56,64 +57,64 @@
 }
 
 void StreamService::Tick(TimePoint now) {
-  processes_.Beat(now);
-  FollowRegistry(now);
-  own_.Expire(now);
-  kept_.Expire(now);
+  process_verifier_.Beat(now);
+  ScanRegistry(now);
+  own_records_.Expire(now);
+  kept_records_.Expire(now);
   history_.Expire(now);
   const auto is_confirmed = [this](const StreamRecord& stream) {
-    return processes_.IsConfirmed(stream);
+    return process_verifier_.IsConfirmed(stream);
   };
-  own_.Confirm(is_confirmed);
-  kept_.Confirm(is_confirmed);
-  AskAhead(now);
-  for (const auto& [service, size] : ledger_sizes_) TellAll(service, now);
+  own_records_.Confirm(is_confirmed);
+  kept_records_.Confirm(is_confirmed);
+  PrefetchPermissions(now);
+  for (const auto& [service, size] : ledger_sizes_) SyncKeepers(service, now);
   SaveDue(now);
-  GlobalCounters().streams_kept.Set(static_cast<int64_t>(kept_.Size()));
+  GlobalCounters().streams_kept.Set(static_cast<int64_t>(kept_records_.Size()));
 }
 
-bool StreamService::IsFollowDue(TimePoint now) const {
-  const Duration since = now - followed_;
-  if (registry_.Changes() == registry_changes_) return since >= kFollowAgain;
-  return since >= static_cast<int64_t>(registry_.Size()) * kFollowedPerEngine;
+bool StreamService::IsScanDue(TimePoint now) const {
+  const Duration since = now - scanned_;
+  if (registry_.Changes() == scanned_changes_) return since >= kRescanInterval;
+  return since >= static_cast<int64_t>(registry_.Size()) * kScanIntervalPerEngine;
 }
 
-void StreamService::FollowRegistry(TimePoint now) {
-  if (!IsFollowDue(now)) return;
-  followed_ = now;
-  registry_changes_ = registry_.Changes();
+void StreamService::ScanRegistry(TimePoint now) {
+  if (!IsScanDue(now)) return;
+  scanned_ = now;
+  scanned_changes_ = registry_.Changes();
   registry_.ForEach([this, now](const Backend& backend) {
     if (backend.version.empty()) return;
     history_.NoteListed(backend.service, backend.version, now);
-    // A service whose ledger was not heard of yet has a history all the same.
+    // Adds services whose ledger is not known yet: they have a version history all the same.
     ledger_sizes_.try_emplace(backend.service, 0);
   });
 }
 
 bool StreamService::IsVersioned(const std::string& service) {
-  FollowRegistry(Now());
+  ScanRegistry(Now());
   return !history_.VersionsOf(service, Now()).empty();
 }
 
-// Only beside another version a process may have been taken for another one's.
+// A process can be mistaken for one of another version only where there are several versions.
 asio::awaitable<bool> StreamService::IsVersionVerified(std::string service, StreamRecord stream) {
   const TimePoint now = Now();
   if (!IsMixed(service, now)) co_return true;
-  const StreamRecord* known = own_.Find(stream.key, now);
-  if (known == nullptr) known = kept_.Find(stream.key, now);
+  const StreamRecord* known = own_records_.Find(stream.key, now);
+  if (known == nullptr) known = kept_records_.Find(stream.key, now);
   if (known != nullptr && known->is_confirmed) co_return true;
-  co_return co_await processes_.HasRecordedVersion(std::move(stream));
+  co_return co_await process_verifier_.HasRecordedVersion(std::move(stream));
 }
 
 asio::awaitable<bool> StreamService::MayContinueAt(Backend backend, TimePoint connected) {
   if (!IsMixed(backend.service, Now())) co_return true;
-  co_return co_await processes_.HasListedVersion(std::move(backend), connected);
+  co_return co_await process_verifier_.HasListedVersion(std::move(backend), connected);
 }
 
 bool StreamService::IsOutOfTouch(TimePoint now) const { return !routing_.IsFresh(now, fresh_for_); }
 
 bool StreamService::IsMixed(const std::string& service, TimePoint now) {
-  FollowRegistry(now);
+  ScanRegistry(now);
   const auto size = ledger_sizes_.find(service);
   const bool ledger_is_mixed = size != ledger_sizes_.end() && size->second > 1;
   return ledger_is_mixed || history_.IsMixed(service, now);
@@ -125,7 +126,7 @@
 
 bool StreamService::HasEarlierBuilds() const {
   const auto& peers = peers_.Peers();
-  // Also one that has ended may have begun streams.
+  // Includes peers that have ended: they may have started streams.
   return std::any_of(peers.begin(), peers.end(), [](const auto& entry) {
     const bool was_heard = entry.second.status != PeerStatus::kUnheard;
     return was_heard && !entry.second.state.keeps_streams;
@@ -134,17 +135,17 @@
 
 asio::awaitable<void> StreamService::Note(std::string service, StreamRecord record) {
   const TimePoint now = Now();
-  own_.Note(service, record, now);
+  own_records_.Note(service, record, now);
   if (!IsRecording(service, now)) co_return;
   std::vector<std::string> keepers = Keepers(service, now);
-  if (keepers.size() > kKeepersTold) keepers.resize(kKeepersTold);
-  if (std::erase(keepers, "") > 0) Keep(service, record, now);
+  if (keepers.size() > kReplicas) keepers.resize(kReplicas);
+  if (std::erase(keepers, "") > 0) AcceptRecord(service, record, now);
   StreamQuestion question;
   question.kind = StreamQuestionKind::kKeep;
   question.service = service;
   question.records = {record};
   const std::optional<StreamAnswer> answer =
-      co_await Ask(std::move(keepers), std::move(question), kTellPatience);
+      co_await Ask(std::move(keepers), std::move(question), kReplicationTimeout);
   if (!answer.has_value()) GlobalCounters().streams_not_told_total.Add();
 }
 
@@ -152,9 +153,9 @@
                                                   TimePoint deadline) {
   StreamLookup lookup;
   const TimePoint begun = Now();
-  const TimePoint last = std::min(deadline, begun + kFindPatience);
-  const StreamRecord* own = own_.Find(stream, begun);
-  if (own == nullptr) own = kept_.Find(stream, begun);
+  const TimePoint last = std::min(deadline, begun + kLookupTimeout);
+  const StreamRecord* own = own_records_.Find(stream, begun);
+  if (own == nullptr) own = kept_records_.Find(stream, begun);
   StreamAnswer found;
   if (own != nullptr) {
     found = {0, true, *own, VersionSource::kOwnRecord, 0};
@@ -168,29 +169,29 @@
     const std::optional<StreamAnswer> answer =
         co_await Ask(std::move(keepers), std::move(question), last - begun);
     if (answer.has_value()) found = *answer;
-    // Where no keeper is to be had, this node is as good as one.
-    const bool asks_itself = !found.is_yes && (is_keeper || !answer.has_value());
-    if (asks_itself)
-      found = co_await FindHere(service, stream, std::min(deadline, Now() + kFindPatience));
+    // When no keeper answers, this node looks the stream up as a keeper would.
+    const bool acts_as_keeper = !found.is_yes && (is_keeper || !answer.has_value());
+    if (acts_as_keeper)
+      found = co_await FindAsKeeper(service, stream, std::min(deadline, Now() + kLookupTimeout));
   }
   if (!found.is_yes || found.record.version.empty()) co_return lookup;
   if (!co_await IsVersionVerified(service, found.record)) co_return lookup;
   lookup.source = found.source;
   lookup.version = found.record.version;
-  if (own == nullptr) own_.Note(service, found.record, Now());
+  if (own == nullptr) own_records_.Note(service, found.record, Now());
   co_return lookup;
 }
 
-asio::awaitable<StreamAnswer> StreamService::FindHere(std::string service, StreamKey stream,
-                                                      TimePoint deadline) {
+asio::awaitable<StreamAnswer> StreamService::FindAsKeeper(std::string service, StreamKey stream,
+                                                          TimePoint deadline) {
   StreamAnswer answer;
-  const StreamRecord* known = kept_.Find(stream, Now());
-  if (known == nullptr) known = own_.Find(stream, Now());
+  const StreamRecord* known = kept_records_.Find(stream, Now());
+  if (known == nullptr) known = own_records_.Find(stream, Now());
   if (known != nullptr) co_return StreamAnswer{0, true, *known, VersionSource::kPeerRecord, 0};
   if (store_ == nullptr) co_return answer;
   const std::optional<StoredStreams> stored = co_await ReadFresh(service, deadline);
-  // Told meanwhile.
-  known = kept_.Find(stream, Now());
+  // The record may have arrived during the read.
+  known = kept_records_.Find(stream, Now());
   if (known != nullptr) co_return StreamAnswer{0, true, *known, VersionSource::kPeerRecord, 0};
   if (!stored.has_value()) co_return answer;
   for (const StreamRecord& record : stored->records) {
@@ -210,7 +211,8 @@
   co_return answer;
 }
 
-// A reading that had begun before may have missed what the caller saw since.
+// A read that started before the call may have missed what the caller has seen since, so the next
+// one is awaited.
 asio::awaitable<std::optional<StoredStreams>> StreamService::ReadFresh(std::string service,
                                                                        TimePoint deadline) {
   const int64_t wanted = readers_[service].begun + 1;
@@ -220,16 +222,16 @@
       ++readers_[service].begun;
       asio::co_spawn(io_, ReadStore(service), asio::detached);
     }
-    co_await Pause(kReadPoll);
+    co_await Pause(kReadPollInterval);
   }
-  const Reader& reader = readers_[service];
+  const StoreReader& reader = readers_[service];
   co_return reader.ended < wanted ? std::nullopt : reader.last;
 }
 
 asio::awaitable<void> StreamService::ReadStore(std::string service) {
   const int64_t number = readers_[service].begun;
   const absl::StatusOr<StoredStreams> stored = co_await store_->Read(service);
-  Reader& reader = readers_[service];
+  StoreReader& reader = readers_[service];
   reader.is_running = false;
   reader.ended = number;
   reader.last = stored.ok() ? std::make_optional(*stored) : std::nullopt;
@@ -240,39 +242,39 @@
 
 asio::awaitable<std::optional<StreamAnswer>> StreamService::Ask(std::vector<std::string> hosts,
                                                                 StreamQuestion question,
-                                                                Duration patience) {
+                                                                Duration timeout) {
   std::erase(hosts, "");
   if (hosts.empty() || !send_) co_return std::nullopt;
   const uint32_t id = next_question_++;
   question.id = id;
-  Waiting waiting{Timer(io_), {hosts.begin(), hosts.end()}, std::nullopt};
-  waiting_[id] = &waiting;
+  PendingQuestion pending{Timer(io_), {hosts.begin(), hosts.end()}, std::nullopt};
+  pending_questions_[id] = &pending;
   const Datagram datagram = std::move(question);
-  for (const Duration wait : {kFirstPatience, patience - kFirstPatience}) {
-    const std::set<std::string> unanswered = waiting.unanswered;
+  for (const Duration wait : {kResendDelay, timeout - kResendDelay}) {
+    const std::set<std::string> unanswered = pending.unanswered;
     for (const std::string& host : unanswered) send_(host, datagram);
-    waiting.timer.expires_after(wait);
-    // Each wait may end early without an answer: timers are bounded.
+    pending.timer.expires_after(wait);
+    // A wait that ends before `until` without an answer is continued.
     const TimePoint until = Now() + wait;
-    while (!waiting.yes.has_value() && !waiting.unanswered.empty() && Now() < until) {
+    while (!pending.yes.has_value() && !pending.unanswered.empty() && Now() < until) {
       boost::system::error_code ignored;
-      co_await waiting.timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+      co_await pending.timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
-    if (waiting.yes.has_value() || waiting.unanswered.empty()) break;
+    if (pending.yes.has_value() || pending.unanswered.empty()) break;
   }
-  waiting_.erase(id);
-  if (waiting.yes.has_value()) co_return waiting.yes;
-  co_return waiting.some_answered ? std::make_optional(StreamAnswer()) : std::nullopt;
+  pending_questions_.erase(id);
+  if (pending.yes.has_value()) co_return pending.yes;
+  co_return pending.some_answered ? std::make_optional(StreamAnswer()) : std::nullopt;
 }
 
 void StreamService::OnAnswer(const std::string& host, const StreamAnswer& answer) {
-  const auto entry = waiting_.find(answer.id);
-  if (entry == waiting_.end()) return;
-  Waiting& waiting = *entry->second;
-  if (waiting.unanswered.erase(host) == 0) return;
-  waiting.some_answered = true;
-  if (answer.is_yes) waiting.yes = answer;
-  if (answer.is_yes || waiting.unanswered.empty()) waiting.timer.cancel();
+  const auto entry = pending_questions_.find(answer.id);
+  if (entry == pending_questions_.end()) return;
+  PendingQuestion& pending = *entry->second;
+  if (pending.unanswered.erase(host) == 0) return;
+  pending.some_answered = true;
+  if (answer.is_yes) pending.yes = answer;
+  if (answer.is_yes || pending.unanswered.empty()) pending.timer.cancel();
 }
 
 void StreamService::OnQuestion(const std::string& host, const StreamQuestion& question) {
@@ -280,7 +282,8 @@
   const TimePoint now = Now();
   switch (question.kind) {
     case StreamQuestionKind::kKeep: {
-      for (const StreamRecord& record : question.records) Keep(question.service, record, now);
+      for (const StreamRecord& record : question.records)
+        AcceptRecord(question.service, record, now);
       StreamAnswer answer;
       answer.id = question.id;
       answer.is_yes = true;
@@ -297,7 +300,8 @@
 }
 
 asio::awaitable<void> StreamService::AnswerFind(std::string host, StreamQuestion question) {
-  StreamAnswer answer = co_await FindHere(question.service, question.stream, Now() + kFindPatience);
+  StreamAnswer answer =
+      co_await FindAsKeeper(question.service, question.stream, Now() + kLookupTimeout);
   answer.id = question.id;
   send_(host, answer);
 }
--- a/libs/relay/src/streams/stream_service.h
+++ b/libs/relay/src/streams/stream_service.h
@@ -1,12 +1,12 @@
-// Which version of its engines' software a begun stream belongs to, so that it goes on there and
-// nowhere else, whichever node goes on with it. One thread.
+// Tracks at which version of the engine software each stream was started, so that it is resumed
+// only on engines of that version, whichever node resumes it. Not thread-safe.
 //
-// A node begins streams at a version once that version is in the service's ledger in the store.
-// Who takes a stream up and knows no record of it therefore reads the ledger: where it has one
-// version, the stream is of that. Where it has several, or this node has not heard the store
-// lately, the node that begins a stream tells two others, the keepers of the service, before the
-// first event goes out, and the first keeper writes what it is told into the store, some times a
-// second. What nobody knows is not guessed.
+// A node starts streams at a version only once that version is in the service's ledger in the
+// store. A node that resumes a stream without a record of it therefore reads the ledger: if the
+// ledger has a single version, the stream has that one. If it has several, or the node that starts
+// a stream has not heard from the store lately, that node sends the stream's record to two nodes,
+// the keepers of the service, before the first event goes out. The first keeper writes the records
+// it receives to the store several times a second. A version that no node knows is not guessed.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -33,124 +33,128 @@
 
 namespace cartsail {
 
-// What is known of a stream that a caller takes up.
+// What is known about a stream that a caller resumes.
 struct StreamLookup {
   VersionSource source = VersionSource::kNone;
-  std::string version;  // where there is a source
+  std::string version;  // empty without a source
 };
 
 class StreamService {
  public:
   using Send = std::function<void(const std::string& host, const Datagram& datagram)>;
 
-  // `fresh_for`: a node that heard the store, itself or by others, longer ago counts as out of
-  // touch with it.
+  // `fresh_for`: a node that has heard from the store, directly or through other nodes, longer ago
+  // than this counts as out of touch with it.
   StreamService(boost::asio::io_context& io, const PeerTable& peers,
                 const BackendRegistry& registry, const RoutingState& routing, Duration fresh_for);
 
-  // Without one this node asks and tells nobody.
+  // Without a transport this node neither asks nor answers other nodes.
   void SetTransport(Send send) { send_ = std::move(send); }
 
-  // Without one streams may begin at every version, and only records tell that of a stream. It
-  // outlives this.
+  // Without a store streams may start at every version, and a stream's version is known only from
+  // records. `store` must outlive this object.
   void SetStore(StreamStore* store) { store_ = store; }
 
-  // Runs until the process ends.
+  // Starts the periodic work, which runs until the process ends.
   void Start();
 
-  // Some engine of `service` tells its version: streams go on at their own.
+  // True when an engine of `service` states its version: streams are then resumed only at their
+  // own version.
   bool IsVersioned(const std::string& service);
 
-  // Streams of `service` may begin at `version`. May wait some milliseconds for others or the
-  // store.
+  // True when streams of `service` may start at `version`. May wait up to 360 ms for other nodes
+  // and the store.
   boost::asio::awaitable<bool> MayBegin(std::string service, std::string version);
 
-  // To be awaited before a stream's first event is passed on.
+  // Records a started stream, here and at its keepers. To be awaited before the stream's first
+  // event is passed on.
   boost::asio::awaitable<void> Note(std::string service, StreamRecord record);
 
-  // May wait for others or the store, until `deadline` at most.
+  // Looks up the version of a stream. May wait for other nodes or the store until `deadline`, then
+  // for the engine's entry (see EngineProcessVerifier).
   boost::asio::awaitable<StreamLookup> Find(std::string service, StreamKey stream,
                                             TimePoint deadline);
 
-  // The process that wrote the stream's first event is of the version that was taken for it. May
-  // wait for the store.
+  // True when the process that wrote the stream's first event has the recorded version. May wait
+  // for the store.
   boost::asio::awaitable<bool> IsVersionVerified(std::string service, StreamRecord stream);
 
-  // A stream may go on over a connection to the back end that was made at `connected`: the process
-  // there is of the version that is listed. May wait for the store.
+  // True when a stream may continue over a connection to `backend` that was made at `connected`:
+  // the process there has the listed version. May wait for the store.
   boost::asio::awaitable<bool> MayContinueAt(Backend backend, TimePoint connected);
 
-  EngineProcessVerifier& ProcessVerifier() { return processes_; }
+  EngineProcessVerifier& ProcessVerifier() { return process_verifier_; }
 
   void OnQuestion(const std::string& host, const StreamQuestion& question);
   void OnAnswer(const std::string& host, const StreamAnswer& answer);
 
-  // Streams that this node keeps for others.
-  size_t Kept() const { return kept_.Size(); }
+  // Number of stream records that this node keeps as a keeper.
+  size_t Kept() const { return kept_records_.Size(); }
 
  private:
-  static constexpr size_t kKeepersTold = 2;  // of each stream
-  static constexpr Duration kReadPoll = milliseconds(2);
+  static constexpr size_t kReplicas = 2;  // keepers that receive each stream's record
+  static constexpr Duration kReadPollInterval = milliseconds(2);
 
   using ServiceVersion = std::pair<std::string, std::string>;
 
-  // A question under way, to several nodes.
-  struct Waiting {
+  // A question to several nodes that awaits answers.
+  struct PendingQuestion {
     Timer timer;  // cancelled by the answer that ends the wait
     std::set<std::string> unanswered;
     std::optional<StreamAnswer> yes;
     bool some_answered = false;
   };
 
-  // Reads the store for all that wait for the same service.
-  struct Reader {
+  // Shares each read of the store among all callers that wait for the same service.
+  struct StoreReader {
     bool is_running = false;
-    int64_t begun = 0;
-    int64_t ended = 0;
-    std::optional<StoredStreams> last;  // of the reading that ended last; nothing: it failed
+    int64_t begun = 0;                  // number of the read that started last
+    int64_t ended = 0;                  // number of the read that finished last
+    std::optional<StoredStreams> last;  // result of the read that finished last; nullopt: it failed
   };
 
   struct Registration {
     bool is_running = false;
-    TimePoint not_before{};
+    TimePoint not_before{};  // of the next request for the permission
   };
 
   boost::asio::awaitable<void> Run();
   void Tick(TimePoint now);
-  bool IsFollowDue(TimePoint now) const;
-  void FollowRegistry(TimePoint now);
+  bool IsScanDue(TimePoint now) const;
+  void ScanRegistry(TimePoint now);
   bool IsMixed(const std::string& service, TimePoint now);
   bool IsRecording(const std::string& service, TimePoint now);
   bool IsOutOfTouch(TimePoint now) const;
   bool HasEarlierBuilds() const;
   std::vector<std::string> Keepers(const std::string& service, TimePoint now) const;
   bool IsFirstKeeper(const std::string& service, TimePoint now) const;
-  void Keep(const std::string& service, const StreamRecord& record, TimePoint now);
-  void TellAll(const std::string& service, TimePoint now);
+  void AcceptRecord(const std::string& service, const StreamRecord& record, TimePoint now);
+  void SyncKeepers(const std::string& service, TimePoint now);
   void SaveDue(TimePoint now);
   boost::asio::awaitable<void> Save(std::string service);
   boost::asio::awaitable<void> Prune(std::string service);
-  void AskAhead(TimePoint now);
-  boost::asio::awaitable<void> AskAheadFor(std::string service, std::string version);
-  boost::asio::awaitable<bool> AskWhetherMayBegin(std::string service, std::string version);
+  void PrefetchPermissions(TimePoint now);
+  boost::asio::awaitable<void> PrefetchPermission(std::string service, std::string version);
+  boost::asio::awaitable<bool> RequestPermission(std::string service, std::string version);
 
   bool IsPermitted(const ServiceVersion& version, TimePoint now) const;
   void Permit(const ServiceVersion& version, uint32_t ledger_size, TimePoint until);
-  boost::asio::awaitable<bool> RegisterHere(std::string service, std::string version,
-                                            TimePoint deadline);
+  boost::asio::awaitable<bool> AwaitRegistration(std::string service, std::string version,
+                                                 TimePoint deadline);
   boost::asio::awaitable<void> Register(std::string service, std::string version);
-  boost::asio::awaitable<StreamAnswer> FindHere(std::string service, StreamKey stream,
-                                                TimePoint deadline);
+  boost::asio::awaitable<StreamAnswer> FindAsKeeper(std::string service, StreamKey stream,
+                                                    TimePoint deadline);
   boost::asio::awaitable<std::optional<StoredStreams>> ReadFresh(std::string service,
                                                                  TimePoint deadline);
   boost::asio::awaitable<void> ReadStore(std::string service);
   boost::asio::awaitable<void> AnswerFind(std::string host, StreamQuestion question);
   boost::asio::awaitable<void> AnswerMayBegin(std::string host, StreamQuestion question);
 
-  // The first yes, or the answers' sum: nothing where nobody answered in time.
+  // Returns the first yes, or a default StreamAnswer when nodes have answered but none with yes;
+  // nullopt when no node was asked or none answered within `timeout`.
   boost::asio::awaitable<std::optional<StreamAnswer>> Ask(std::vector<std::string> hosts,
                                                           StreamQuestion question,
-                                                          Duration patience);
+                                                          Duration timeout);
   boost::asio::awaitable<void> Pause(Duration duration);
 
   boost::asio::io_context& io_;
@@ -160,24 +164,25 @@
   Duration fresh_for_;
   Send send_;
   StreamStore* store_ = nullptr;
-  EngineProcessVerifier processes_;
+  EngineProcessVerifier process_verifier_;
   TimePoint started_;
-  StreamRecords own_;
-  StreamRecords kept_;
+  StreamRecords own_records_;
+  StreamRecords kept_records_;
   VersionHistory history_;
-  int64_t registry_changes_ = -1;
-  TimePoint followed_{};
-  std::map<ServiceVersion, TimePoint> permitted_;  // until when
+  int64_t scanned_changes_ = -1;
+  TimePoint scanned_{};
+  std::map<ServiceVersion, TimePoint> permitted_;  // expiry times
   std::map<ServiceVersion, Registration> registrations_;
-  std::map<std::string, uint32_t> ledger_sizes_;  // by service, as last heard
-  std::map<std::string, Reader> readers_;
-  std::map<std::string, std::vector<StreamRecord>> unsaved_;  // by service, while this node saves
-  std::set<std::string> saving_;                              // services whose records it saves
-  std::set<std::string> saves_under_way_;
-  std::map<std::string, std::vector<std::string>> told_;  // keepers that know all, by service
+  std::map<std::string, uint32_t> ledger_sizes_;  // by service; 0: unknown
+  std::map<std::string, StoreReader> readers_;
+  std::map<std::string, std::vector<StreamRecord>> unsaved_;  // by service, of those in `saving_`
+  std::set<std::string> saving_;  // services whose records this node saves
+  std::set<std::string> saves_in_progress_;
+  std::map<std::string, std::vector<std::string>>
+      synced_keepers_;  // by service: keepers that were sent all records
   TimePoint next_save_{};
   TimePoint next_prune_{};
-  std::map<uint32_t, Waiting*> waiting_;  // by question
+  std::map<uint32_t, PendingQuestion*> pending_questions_;  // by question id
   uint32_t next_question_;
 };
 
--- a/libs/relay/src/streams/stream_store.cc
+++ b/libs/relay/src/streams/stream_store.cc
@@ -17,12 +17,12 @@
 constexpr std::string_view kLedgerName = "versions";
 constexpr std::string_view kRecordsName = "records/";
 constexpr int64_t kItemsPerPage = 500;
-constexpr int kTriesToRegister = 3;
+constexpr int kRegisterAttempts = 3;
 constexpr int kProcessIdBytes = 4;
-// One lease serves the records of that time that last alike.
-constexpr Duration kLeaseServes = seconds(5);
+// Leases are granted for this much longer than needed, so that the saves of this time share one.
+constexpr Duration kLeaseSharingTime = seconds(5);
 
-// Of a record, in this order.
+// Fields of an encoded record, in this order.
 enum Field : size_t { kKey, kVersion, kEngine, kStarted, kConfirmed, kLeft, kBegun, kFields };
 
 std::string EncodeRecords(const std::vector<StreamRecord>& records, TimePoint now) {
@@ -45,7 +45,7 @@
          fields[kBegun].is_number();
 }
 
-// Rows that are none are left out.
+// Skips rows that are not records.
 void DecodeRecords(const std::string& text, TimePoint now, std::vector<StreamRecord>* records) {
   const absl::StatusOr<json::value> value = ParseJson(text);
   if (!value.ok() || !value->is_array()) return;
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-// A process that starts again must not write over what the one before it left.
+// The random suffix keeps a restarted process from overwriting records of the previous one.
 StreamStore::StreamStore(KeyValueStore& store, std::string prefix, std::string node)
     : store_(store),
       prefix_(std::move(prefix)),
@@ -116,15 +116,16 @@
   const absl::StatusOr<TxnResult> result = co_await store_.Txn(request);
   if (!result.ok()) co_return result.status();
   if (!result->succeeded)
-    co_return MakeError(ErrorKind::kConflict, "another node wrote the ledger");
+    co_return MakeError(ErrorKind::kConflict,
+                        "version ledger was written by another node since it was read");
   co_return absl::OkStatus();
 }
 
-// An answer that was lost is decided by reading again.
+// A failed write may have succeeded with its answer lost; reading the ledger again decides.
 asio::awaitable<absl::StatusOr<VersionLedger>> StreamStore::Register(std::string service,
                                                                      std::string version) {
   absl::Status failed = absl::OkStatus();
-  for (int i = 0; i < kTriesToRegister; ++i) {
+  for (int i = 0; i < kRegisterAttempts; ++i) {
     const absl::StatusOr<StoredStreams> stored = co_await Read(service);
     if (!stored.ok()) co_return stored.status();
     VersionLedger ledger = stored->ledger.value_or(VersionLedger());
@@ -148,7 +149,7 @@
 asio::awaitable<absl::StatusOr<int64_t>> StreamStore::LeaseFor(Duration length) {
   const TimePoint now = Now();
   if (lease_ != 0 && now + length <= lease_ends_) co_return lease_;
-  const seconds granted = std::chrono::ceil<seconds>(length + kLeaseServes);
+  const seconds granted = std::chrono::ceil<seconds>(length + kLeaseSharingTime);
   const absl::StatusOr<int64_t> lease = co_await store_.GrantLease(granted.count());
   if (!lease.ok()) co_return lease.status();
   lease_ = *lease;
@@ -170,7 +171,7 @@
                EncodeRecords(records, Now()), *lease};
   request.success.push_back(write);
   const absl::StatusOr<TxnResult> result = co_await store_.Txn(request);
-  // The lease may be over: the next save takes another one.
+  // The lease may have expired: the next save requests a new one.
   if (!result.ok()) lease_ = 0;
   co_return result.status();
 }
--- a/libs/relay/src/streams/stream_store.h
+++ b/libs/relay/src/streams/stream_store.h
@@ -1,4 +1,4 @@
-// Begun streams and version ledgers in the platform's store. One thread.
+// Keeps stream records and version ledgers in the platform's store. Not thread-safe.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -17,40 +17,42 @@
 namespace cartsail {
 
 struct StoredStreams {
-  std::optional<VersionLedger> ledger;  // nothing: there is none
-  int64_t ledger_revision = 0;          // at which it was last written; 0: there is none
+  std::optional<VersionLedger> ledger;  // nullopt: there is none, or it is unreadable
+  int64_t ledger_revision = 0;          // store revision of its last write; 0: there is none
   std::vector<StreamRecord> records;
 };
 
 class StreamStore {
  public:
-  // `prefix`: of all keys; `node`: distinguishes the records that this node writes.
+  // `prefix`: of all keys; `node`: this node's name, part of the keys of the records it writes.
   StreamStore(KeyValueStore& store, std::string prefix, std::string node);
 
-  // All that the store has of `service`, as of a moment after the call.
+  // Reads the ledger and all records of `service`, as of a moment after the call.
   boost::asio::awaitable<absl::StatusOr<StoredStreams>> Read(std::string service);
 
-  // Puts `version` into the ledger. OK also where it is there; then, or when it was written, the
-  // ledger is returned.
+  // Adds `version` to the ledger unless it is there already. Returns the ledger with `version` in
+  // it.
   boost::asio::awaitable<absl::StatusOr<VersionLedger>> Register(std::string service,
                                                                  std::string version);
 
-  // Leaves `kept` in the ledger. kConflict when it was written meanwhile.
+  // Removes all versions but `kept` from the ledger. kConflict when another node wrote the ledger
+  // meanwhile.
   boost::asio::awaitable<absl::Status> KeepOnly(std::string service, std::vector<std::string> kept);
 
-  // Adds records, each for as long as it holds.
+  // Writes `records` under a lease that outlasts the last of them.
   boost::asio::awaitable<absl::Status> Save(std::string service, std::vector<StreamRecord> records);
 
  private:
   boost::asio::awaitable<absl::Status> WriteLedger(std::string service, VersionLedger ledger,
                                                    int64_t revision);
+  // Returns the id of a lease with at least `length` left.
   boost::asio::awaitable<absl::StatusOr<int64_t>> LeaseFor(Duration length);
   std::string PrefixOf(const std::string& service) const;
 
   KeyValueStore& store_;
   std::string prefix_;
   std::string node_;
-  int64_t lease_ = 0;
+  int64_t lease_ = 0;  // id in the store; 0: none
   TimePoint lease_ends_{};
   uint64_t saves_ = 0;
 };
--- a/libs/relay/src/streams/version_permissions.cc
+++ b/libs/relay/src/streams/version_permissions.cc
@@ -1,5 +1,5 @@
-// At which versions streams of a service may begin: what the ledger in the store tells, and what
-// nodes that know it tell others.
+// Permissions to start streams at a version: granted by the ledger in the store, and passed on by
+// nodes that hold them.
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -13,10 +13,10 @@
 
 namespace asio = boost::asio;
 
-constexpr Duration kMayBeginPatience = milliseconds(60);
-constexpr Duration kRegisterPatience = milliseconds(300);
-constexpr Duration kRegisterAgain = milliseconds(200);
-constexpr Duration kRenewAgain = seconds(10);
+constexpr Duration kPermissionTimeout = milliseconds(60);
+constexpr Duration kRegistrationTimeout = milliseconds(300);
+constexpr Duration kPermissionRetryInterval = milliseconds(200);
+constexpr Duration kPermissionRenewalInterval = seconds(10);
 
 }  // namespace
 
@@ -37,8 +37,8 @@
   if (ledger_size > 0) ledger_sizes_[version.first] = ledger_size;
 }
 
-// Requests find the permission there.
-void StreamService::AskAhead(TimePoint now) {
+// Obtains permissions before requests need them.
+void StreamService::PrefetchPermissions(TimePoint now) {
   if (store_ == nullptr || routing_.Table() == nullptr) return;
   std::set<std::string> services;
   for (const RouteRule& route : routing_.Table()->Document().routes) {
@@ -51,24 +51,25 @@
       if (IsPermitted(wanted, now + kPermissionHolds / 2)) continue;
       Registration& registration = registrations_[wanted];
       if (now < registration.not_before) continue;
-      registration.not_before = now + (IsPermitted(wanted, now) ? kRenewAgain : kRegisterAgain);
-      asio::co_spawn(io_, AskAheadFor(service, version), asio::detached);
+      registration.not_before =
+          now + (IsPermitted(wanted, now) ? kPermissionRenewalInterval : kPermissionRetryInterval);
+      asio::co_spawn(io_, PrefetchPermission(service, version), asio::detached);
     }
   }
 }
 
-asio::awaitable<void> StreamService::AskAheadFor(std::string service, std::string version) {
-  (void)co_await AskWhetherMayBegin(std::move(service), std::move(version));
+asio::awaitable<void> StreamService::PrefetchPermission(std::string service, std::string version) {
+  (void)co_await RequestPermission(std::move(service), std::move(version));
 }
 
 asio::awaitable<bool> StreamService::MayBegin(std::string service, std::string version) {
-  // An engine whose version is not known: what is begun there cannot go on.
+  // Streams that start on an engine of unknown version cannot be resumed and need no permission.
   if (store_ == nullptr || version.empty()) co_return true;
   if (IsPermitted({service, version}, Now())) co_return true;
-  co_return co_await AskWhetherMayBegin(service, version);
+  co_return co_await RequestPermission(service, version);
 }
 
-asio::awaitable<bool> StreamService::AskWhetherMayBegin(std::string service, std::string version) {
+asio::awaitable<bool> StreamService::RequestPermission(std::string service, std::string version) {
   const ServiceVersion wanted{service, version};
   const TimePoint asked = Now();
   const std::vector<std::string> keepers = Keepers(service, asked);
@@ -79,27 +80,28 @@
     question.service = service;
     question.version = version;
     const std::optional<StreamAnswer> answer =
-        co_await Ask(keepers, std::move(question), kMayBeginPatience);
+        co_await Ask(keepers, std::move(question), kPermissionTimeout);
     if (answer.has_value() && answer->is_yes) {
-      // What a keeper was told earlier holds no longer for being handed on.
+      // Counted from the question, so that passing a permission on does not extend it.
       Permit(wanted, answer->ledger_size, asked + answer->holds);
       co_return true;
     }
-    // Were all nodes to ask a store that does not answer the keepers, it would not come back.
+    // Only keepers turn to the store then: with the load of all nodes, a store that does not answer
+    // the keepers would not recover.
     if (answer.has_value() && !rank.has_value()) co_return false;
   }
-  co_return co_await RegisterHere(service, version, Now() + kRegisterPatience);
+  co_return co_await AwaitRegistration(service, version, Now() + kRegistrationTimeout);
 }
 
-asio::awaitable<bool> StreamService::RegisterHere(std::string service, std::string version,
-                                                  TimePoint deadline) {
+asio::awaitable<bool> StreamService::AwaitRegistration(std::string service, std::string version,
+                                                       TimePoint deadline) {
   const ServiceVersion wanted{service, version};
   if (store_ == nullptr) co_return false;
   if (!registrations_[wanted].is_running) {
     registrations_[wanted].is_running = true;
     asio::co_spawn(io_, Register(service, version), asio::detached);
   }
-  while (registrations_[wanted].is_running && Now() < deadline) co_await Pause(kReadPoll);
+  while (registrations_[wanted].is_running && Now() < deadline) co_await Pause(kReadPollInterval);
   co_return IsPermitted(wanted, Now());
 }
 
@@ -124,8 +126,8 @@
   answer.id = question.id;
   answer.is_yes = IsPermitted(wanted, Now() + kPermissionHolds / 2);
   if (!answer.is_yes) {
-    answer.is_yes =
-        co_await RegisterHere(question.service, question.version, Now() + kRegisterPatience);
+    answer.is_yes = co_await AwaitRegistration(question.service, question.version,
+                                               Now() + kRegistrationTimeout);
   }
   if (answer.is_yes) {
     answer.ledger_size = ledger_sizes_[question.service];
