--- a/libs/relay/src/retries/retry_message.h
+++ b/libs/relay/src/retries/retry_message.h
@@ -1,4 +1,4 @@
-// How nodes lend each other repeats. Plain structs.
+// Messages by which nodes lend each other retries. Plain structs.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace cartsail {
 
-// May the sender make one repeat of this service out of the receiver's budget?
+// Asks for one retry of `service` out of the receiver's budget.
 struct RepeatQuestion {
   uint32_t id = 0;
   std::string service;
--- a/libs/relay/src/retries/retry_service.cc
+++ b/libs/relay/src/retries/retry_service.cc
@@ -17,12 +17,13 @@
 
 namespace asio = boost::asio;
 
-// A caller waits for each of them; a node in another zone answers within a few milliseconds.
-constexpr size_t kMostAsked = 4;
-constexpr Duration kPatience = milliseconds(20);
-// While back ends turn most requests away, nodes with nothing left are not asked for each of them.
-constexpr Duration kRefusalHolds = milliseconds(250);
-constexpr Duration kSilenceHolds = seconds(1);
+// A caller waits for one lender after the other; a node in another zone answers within a few
+// milliseconds.
+constexpr size_t kMaxLendersAsked = 4;
+constexpr Duration kLoanTimeout = milliseconds(20);
+// While back ends refuse most requests, lenders without retries are not asked for each of these.
+constexpr Duration kRefusalBackoff = milliseconds(250);
+constexpr Duration kTimeoutBackoff = seconds(1);
 
 }  // namespace
 
@@ -44,9 +45,9 @@
   while (true) {
     const TimePoint now = Now();
     stalls_.Beat(now);
-    FollowLease(now);
+    UpdateExtraRight(now);
     if (now - tallies_logged_ >= options_.window) LogTallies(now);
-    std::erase_if(refused_until_, [now](const auto& entry) { return now >= entry.second; });
+    std::erase_if(ask_again_at_, [now](const auto& entry) { return now >= entry.second; });
     timer.expires_after(StallWatch::kInterval);
     boost::system::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
@@ -59,20 +60,20 @@
   return budget;
 }
 
-void RetryService::FollowLease(TimePoint now) {
+void RetryService::UpdateExtraRight(TimePoint now) {
   extra_right_.Note(extra_lease_ ? extra_lease_() : std::nullopt, now);
   GlobalCounters().retry_extra_held.Set(extra_right_.Holds(now) ? 1 : 0);
 }
 
-double RetryService::ExtraPart(TimePoint now) {
-  // The lease may have run out since it was last looked at.
-  FollowLease(now);
+double RetryService::ExtraShare(TimePoint now) {
+  // The lease may have expired since the last update.
+  UpdateExtraRight(now);
   return extra_right_.Holds(now) ? peers_.LendingShare() : 0;
 }
 
 double RetryService::LeftOfExtra(const std::string& service) {
   const TimePoint now = Now();
-  return BudgetOf(service)->LeftOfExtra(now, ExtraPart(now));
+  return BudgetOf(service)->LeftOfExtra(now, ExtraShare(now));
 }
 
 void RetryService::NoteRequest(const std::string& service, TimePoint received) {
@@ -84,7 +85,7 @@
   const std::shared_ptr<ServiceRetryBudget> budget = BudgetOf(service);
   Tally& tally = tallies_[service];
   const TimePoint now = Now();
-  const std::optional<RepeatGrant> own = budget->Take(now, ExtraPart(now));
+  const std::optional<RepeatGrant> own = budget->Take(now, ExtraShare(now));
   if (own.has_value()) {
     ++(own->source == RepeatSource::kExtra ? tally.of_extra : tally.of_requests);
     co_return std::make_unique<RetryTicket>(budget, *own, "");
@@ -106,20 +107,21 @@
   for (const std::string& host : lenders) {
     if (!MayAsk(service, host, Now())) continue;
     const TimePoint asked = Now();
-    const std::optional<bool> lent = co_await Ask(host, service);
+    const std::optional<bool> lent = co_await RequestLoan(host, service);
     if (lent.value_or(false)) co_return Loan{host, BudgetOf(service)->TakeLoan(asked)};
-    refused_until_[{service, host}] = Now() + (lent.has_value() ? kRefusalHolds : kSilenceHolds);
+    ask_again_at_[{service, host}] = Now() + (lent.has_value() ? kRefusalBackoff : kTimeoutBackoff);
   }
   co_return std::nullopt;
 }
 
 bool RetryService::MayAsk(const std::string& service, const std::string& host,
                           TimePoint now) const {
-  const auto refused = refused_until_.find({service, host});
-  return refused == refused_until_.end() || now >= refused->second;
+  const auto refused = ask_again_at_.find({service, host});
+  return refused == ask_again_at_.end() || now >= refused->second;
 }
 
-// The one that holds the extra first, as far as can be told without asking it.
+// Candidates for the lease on the extra retries come first, by rank, since its holder is not known
+// without asking; the others follow in random order.
 std::vector<std::string> RetryService::Lenders(const std::string& service, TimePoint now) {
   std::vector<std::string> lenders = peers_.RankLenders(kRetryExtraPurpose, kDutyCandidates, now);
   std::erase(lenders, "");  // this node
@@ -131,27 +133,27 @@
   std::shuffle(others.begin(), others.end(), random_);
   lenders.insert(lenders.end(), others.begin(), others.end());
   std::erase_if(lenders, [&](const std::string& host) { return !MayAsk(service, host, now); });
-  if (lenders.size() > kMostAsked) lenders.resize(kMostAsked);
+  if (lenders.size() > kMaxLendersAsked) lenders.resize(kMaxLendersAsked);
   return lenders;
 }
 
-asio::awaitable<std::optional<bool>> RetryService::Ask(const std::string& host,
-                                                       const std::string& service) {
+asio::awaitable<std::optional<bool>> RetryService::RequestLoan(const std::string& host,
+                                                               const std::string& service) {
   const uint32_t id = next_question_++;
-  Waiting waiting{host, Timer(io_), std::nullopt};
-  waiting_[id] = &waiting;
+  PendingQuestion pending{host, Timer(io_), std::nullopt};
+  pending_questions_[id] = &pending;
   const Datagram question = RepeatQuestion{id, service};
   send_(host, question);
-  waiting.timer.expires_after(kPatience);
+  pending.timer.expires_after(kLoanTimeout);
   boost::system::error_code ignored;
-  co_await waiting.timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-  waiting_.erase(id);
-  co_return waiting.lent;
+  co_await pending.timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+  pending_questions_.erase(id);
+  co_return pending.lent;
 }
 
 void RetryService::OnQuestion(const std::string& host, const RepeatQuestion& question) {
   const TimePoint now = Now();
-  const bool lent = BudgetOf(question.service)->Lend(now, ExtraPart(now));
+  const bool lent = BudgetOf(question.service)->Lend(now, ExtraShare(now));
   if (lent) {
     ++tallies_[question.service].lent;
     GlobalCounters().retries_lent_total.Add();
@@ -160,16 +162,16 @@
 }
 
 void RetryService::OnAnswer(const std::string& host, const RepeatAnswer& answer) {
-  const auto waiting = waiting_.find(answer.id);
-  if (waiting == waiting_.end() || waiting->second->host != host) return;
-  waiting->second->lent = answer.lent;
-  waiting->second->timer.cancel();
+  const auto pending = pending_questions_.find(answer.id);
+  if (pending == pending_questions_.end() || pending->second->host != host) return;
+  pending->second->lent = answer.lent;
+  pending->second->timer.cancel();
 }
 
 void RetryService::LogTallies(TimePoint now) {
   tallies_logged_ = now;
   for (auto& [service, tally] : tallies_) {
-    if (tally.IsWorthALine()) {
+    if (tally.HasRetries()) {
       Log(LogLevel::kInfo, "retry_budget",
           {{"service", service},
            {"requests", std::to_string(tally.requests)},
@@ -179,7 +181,7 @@
            {"lent", std::to_string(tally.lent)},
            {"denied", std::to_string(tally.denied)},
            {"left", fmt::format("{:.1f}", BudgetOf(service)->LeftOfRequests(now))},
-           {"extra_part", fmt::format("{:.2f}", ExtraPart(now))},
+           {"extra_part", fmt::format("{:.2f}", ExtraShare(now))},
            {"live", std::to_string(peers_.LiveCount() + 1)}});
     }
     tally = {};
--- a/libs/relay/src/retries/retry_service.h
+++ b/libs/relay/src/retries/retry_service.h
@@ -1,5 +1,6 @@
-// Decides whether a request may be sent to one more back end, within the budget of all nodes
-// together: out of this node's own budget, or borrowed from another node. One thread.
+// Grants retries, that is, decides whether a request may be sent to one more back end. Retries come
+// out of this node's own budget or are borrowed from another node, so that all nodes together stay
+// within the fleet's budget. Not thread-safe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -25,47 +26,49 @@
 
 namespace cartsail {
 
-// Ranks the nodes that may hold the lease on the extra.
+// Purpose by which nodes are ranked as candidates for the lease on the extra retries.
 inline constexpr char kRetryExtraPurpose[] = "retry extra";
 
-// Outlasts most silences of the store, since nobody may give the extra out without the lease; a
-// crash of its holder costs as much.
+// Lasts longer than most outages of the store, since no node may grant extra retries without the
+// lease. After a crash of the holder none are granted for as long.
 inline constexpr LeaseTerms kRetryExtraLease{seconds(10), milliseconds(300)};
 
 class RetryService {
  public:
   using Send = std::function<void(const std::string& host, const Datagram& datagram)>;
-  // Of the lease on the extra, while this node holds it.
+  // Returns the token of the lease on the extra retries; nullopt while this node does not hold it.
   using LeaseToken = std::function<std::optional<FencingToken>()>;
 
   RetryService(boost::asio::io_context& io, const PeerTable& peers, RetryBudgetOptions options);
 
-  // Without one this node borrows nothing.
+  // Without a transport this node borrows nothing and answers no questions.
   void SetTransport(Send send) { send_ = std::move(send); }
 
-  // Without one this node never gives out the extra.
+  // Without a lease token this node never grants extra retries.
   void SetExtraLease(LeaseToken token) { extra_lease_ = std::move(token); }
 
-  // Runs until the process ends.
+  // Starts the periodic work, which runs until the process ends.
   void Start();
 
+  // Counts a request that came at `received` towards the budget of `service`, unless this process
+  // has just stalled.
   void NoteRequest(const std::string& service, TimePoint received);
 
-  // Nothing when neither this node nor one that it asked has a repeat left. May wait some
-  // milliseconds for others.
+  // Returns null when neither this node nor a node that it asked has a retry left. May wait up to
+  // 80 ms for other nodes.
   boost::asio::awaitable<std::unique_ptr<RetryTicket>> Take(const std::string& service);
 
   void OnQuestion(const std::string& host, const RepeatQuestion& question);
   void OnAnswer(const std::string& host, const RepeatAnswer& answer);
 
-  // What is left of the service's budget at this node, for the log.
+  // Retries of the service that are left at this node, for the log.
   double LeftOfRequests(const std::string& service) {
     return BudgetOf(service)->LeftOfRequests(Now());
   }
   double LeftOfExtra(const std::string& service);
 
  private:
-  // What became of one service's repeats since the last line on them.
+  // Counts for one service since its last log line.
   struct Tally {
     int64_t requests = 0;
     int64_t of_requests = 0;
@@ -74,14 +77,14 @@
     int64_t lent = 0;
     int64_t denied = 0;
 
-    bool IsWorthALine() const { return of_requests + of_extra + borrowed + lent + denied > 0; }
+    bool HasRetries() const { return of_requests + of_extra + borrowed + lent + denied > 0; }
   };
 
-  // A question under way.
-  struct Waiting {
+  // A question that awaits its answer.
+  struct PendingQuestion {
     std::string host;
-    Timer timer;  // cancelled by the answer
-    std::optional<bool> lent;
+    Timer timer;               // cancelled by the answer
+    std::optional<bool> lent;  // nullopt: no answer yet
   };
 
   struct Loan {
@@ -91,12 +94,12 @@
 
   boost::asio::awaitable<void> Run();
   std::shared_ptr<ServiceRetryBudget> BudgetOf(const std::string& service);
-  void FollowLease(TimePoint now);
-  // Of the extra, what this node may give out now.
-  double ExtraPart(TimePoint now);
+  void UpdateExtraRight(TimePoint now);
+  // Share of the extra retries that this node may grant now; 0 without the lease.
+  double ExtraShare(TimePoint now);
   boost::asio::awaitable<std::optional<Loan>> Borrow(const std::string& service);
-  boost::asio::awaitable<std::optional<bool>> Ask(const std::string& host,
-                                                  const std::string& service);
+  boost::asio::awaitable<std::optional<bool>> RequestLoan(const std::string& host,
+                                                          const std::string& service);
   std::vector<std::string> Lenders(const std::string& service, TimePoint now);
   bool MayAsk(const std::string& service, const std::string& host, TimePoint now) const;
   void LogTallies(TimePoint now);
@@ -111,9 +114,9 @@
   std::map<std::string, std::shared_ptr<ServiceRetryBudget>> budgets_;  // by service
   std::map<std::string, Tally> tallies_;                                // by service
   TimePoint tallies_logged_{};
-  std::map<uint32_t, Waiting*> waiting_;  // by question
-  // Service and host: not to be asked again until then.
-  std::map<std::pair<std::string, std::string>, TimePoint> refused_until_;
+  std::map<uint32_t, PendingQuestion*> pending_questions_;  // by question id
+  // By service and host: when the host may be asked again.
+  std::map<std::pair<std::string, std::string>, TimePoint> ask_again_at_;
   std::mt19937_64 random_;
   uint32_t next_question_;
 };
--- a/libs/relay/src/retries/retry_ticket.cc
+++ b/libs/relay/src/retries/retry_ticket.cc
@@ -5,8 +5,8 @@
 RetryTicket::~RetryTicket() { Close(Now()); }
 
 void RetryTicket::Close(TimePoint arrives_by) {
-  if (is_ended_) return;
-  is_ended_ = true;
+  if (is_closed_) return;
+  is_closed_ = true;
   if (is_sent_) {
     budget_->Close(grant_, arrives_by);
   } else {
--- a/libs/relay/src/retries/retry_ticket.h
+++ b/libs/relay/src/retries/retry_ticket.h
@@ -1,4 +1,4 @@
-// One repeat that a request may make, from its grant until it can no longer arrive anywhere.
+// One retry of a request, from its grant until it can no longer arrive at any back end.
 #pragma once
 
 #include <memory>
@@ -12,12 +12,12 @@
 
 class RetryTicket {
  public:
-  // `lender`: the node that lent it; empty: none.
+  // `lender`: host of the node that lent the retry; empty: it was not borrowed.
   RetryTicket(std::shared_ptr<ServiceRetryBudget> budget, const RepeatGrant& grant,
               std::string lender)
       : budget_(std::move(budget)), grant_(grant), lender_(std::move(lender)) {}
 
-  // Ends as sent now, or as not sent.
+  // Closes the ticket with the current time unless it is closed.
   ~RetryTicket();
 
   RetryTicket(const RetryTicket&) = delete;
@@ -26,22 +26,24 @@
   const RepeatGrant& Grant() const { return grant_; }
   const std::string& Lender() const { return lender_; }
 
-  bool MaySend(TimePoint now) const { return !is_ended_ && now <= grant_.send_by; }
+  bool MaySend(TimePoint now) const { return !is_closed_ && now <= grant_.send_by; }
 
   void NoteSent() { is_sent_ = true; }
 
-  // What was told as sent was not sent after all.
+  // Takes NoteSent() back: the retry was not sent after all.
   void NoteNotSent() { is_sent_ = false; }
 
-  // It has reached a back end by `arrives_by`, or never will.
+  // A retry that was sent has reached a back end by `arrives_by` or never will; one that was not
+  // sent is returned to the budget. Has no effect on a closed ticket.
   void Close(TimePoint arrives_by);
 
  private:
-  std::shared_ptr<ServiceRetryBudget> budget_;  // exchanges may outlive what else they share
+  // Shared: an exchange may outlive the other objects that it shares.
+  std::shared_ptr<ServiceRetryBudget> budget_;
   RepeatGrant grant_;
   std::string lender_;
   bool is_sent_ = false;
-  bool is_ended_ = false;
+  bool is_closed_ = false;
 };
 
 }  // namespace cartsail
