--- a/libs/relay/src/quarantine/quarantine_codec.h
+++ b/libs/relay/src/quarantine/quarantine_codec.h
@@ -1,4 +1,4 @@
-// Encoding of strikes and quarantines as parts of messages (Cap'n Proto). Pure.
+// Cap'n Proto encoding of strikes and quarantines as parts of messages. Pure.
 #pragma once
 
 #include "quarantine/quarantine_message.h"
@@ -6,14 +6,15 @@
 
 namespace cartsail {
 
-// Times are sent as ages at `now`.
+// Points in time are sent as their age at `now`.
 void EncodeStrikes(const StrikeReport& report, TimePoint now, wire::Datagram::Builder root);
 StrikeReport DecodeStrikes(capnp::List<wire::Strike>::Reader strikes, TimePoint now);
 
 void EncodeQuarantine(const QuarantineNotice& notice, wire::QuarantineNotice::Builder message);
 QuarantineNotice DecodeQuarantine(wire::QuarantineNotice::Reader message);
 
-// As a part of catalogs: times are sent as what is left at `now`.
+// Entries of catalogs. Expiry times are sent as the remaining time at `now`. `list` has the size of
+// `quarantined`.
 void EncodeQuarantinedList(const std::vector<QuarantinedRequest>& quarantined, TimePoint now,
                            capnp::List<wire::QuarantineEntry>::Builder list);
 std::vector<QuarantinedRequest> DecodeQuarantinedList(
--- a/libs/relay/src/quarantine/quarantine_message.h
+++ b/libs/relay/src/quarantine/quarantine_message.h
@@ -1,4 +1,4 @@
-// What nodes tell each other of requests under which back ends end. Plain structs.
+// Messages that nodes exchange about requests under which back ends terminate. Plain structs.
 #pragma once
 
 #include <optional>
@@ -10,20 +10,21 @@
 
 namespace cartsail {
 
-// To the nodes that count the strikes of these requests.
+// Sent to the nodes that count the strikes of these requests.
 struct StrikeReport {
   std::vector<Strike> strikes;
 };
 
-// To all nodes: a request is kept from back ends, or is innocent. With nothing left of the time for
-// which it is kept it is only suspected: a node at which it ran to the end tells so.
+// Sent to all nodes: a request is quarantined, or it is innocent and its quarantine is lifted. When
+// neither is the case (`left` is 0) the request is only suspected, and a node at which it has
+// completed says so.
 struct QuarantineNotice {
   RequestFingerprint request = 0;
   bool is_lifted = false;
-  Duration left{};                   // where not lifted: how much longer it is kept from back ends
-  Duration first_strike_age{};       // where not lifted: since the first back end ended under it
-  std::vector<BackendKey> backends;  // where not lifted: those that ended under it
-  std::vector<std::string> targets;  // hosts to which the receiver passes it on
+  Duration left{};                   // unless lifted: remaining quarantine; 0: only suspected
+  Duration first_strike_age{};       // unless lifted: since the first back end terminated
+  std::vector<BackendKey> backends;  // unless lifted: those that terminated under it
+  std::vector<std::string> targets;  // hosts to which the receiver forwards the notice
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/quarantine/quarantine_recorder.cc
+++ b/libs/relay/src/quarantine/quarantine_recorder.cc
@@ -16,11 +16,12 @@
 
 namespace asio = boost::asio;
 
-// All nodes that count decide within some milliseconds: the first one has written by then.
-constexpr Duration kTurnToRecord = milliseconds(700);
-constexpr Duration kFirstPause = milliseconds(300);
-constexpr Duration kLongestPause = seconds(5);
-constexpr int kTriesToErase = 5;
+// Delay for each rank: the counting nodes decide within some milliseconds of each other, and the
+// first one has written the record by then.
+constexpr Duration kDelayPerRank = milliseconds(700);
+constexpr Duration kInitialRetryPause = milliseconds(300);
+constexpr Duration kMaxRetryPause = seconds(5);
+constexpr int kEraseAttempts = 5;
 
 }  // namespace
 
@@ -50,11 +51,11 @@
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-// Tries until the record stands, or the quarantine is over.
+// Retries until the record is in the store or the quarantine is over.
 asio::awaitable<void> QuarantineRecorder::Record(RequestFingerprint request, size_t rank) {
   const std::string key = KeyOf(request);
-  co_await Pause(static_cast<int64_t>(rank) * kTurnToRecord);
-  Duration pause = kFirstPause;
+  co_await Pause(static_cast<int64_t>(rank) * kDelayPerRank);
+  Duration pause = kInitialRetryPause;
   while (IsStillQuarantined(request)) {
     absl::Status status = absl::OkStatus();
     const bool is_recorded = co_await IsRecorded(key);
@@ -66,10 +67,10 @@
          {"why", std::string(status.message())}});
     if (status.ok()) break;
     co_await Pause(pause);
-    pause = std::min<Duration>(2 * pause, kLongestPause);
+    pause = std::min<Duration>(2 * pause, kMaxRetryPause);
   }
   recording_.erase(request);
-  // It was lifted while it was written.
+  // The quarantine may have been lifted during the write.
   if (!IsStillQuarantined(request)) co_await Erase(request);
 }
 
@@ -81,7 +82,7 @@
   co_return result.ok() && !result->kvs.empty();
 }
 
-// OK also where another node was faster.
+// OK also when another node has written the record first.
 asio::awaitable<absl::Status> QuarantineRecorder::Write(const std::string& key) {
   const int64_t seconds_long = std::chrono::ceil<seconds>(kQuarantineTime).count();
   const absl::StatusOr<int64_t> lease = co_await store_.GrantLease(seconds_long);
@@ -95,7 +96,7 @@
   create.put = {key, "", *lease};
   request.success.push_back(create);
   const absl::StatusOr<TxnResult> result = co_await store_.Txn(request);
-  // Without the record the lease serves nobody; where this call fails it runs out by itself.
+  // The lease is of no use without the record; it expires on its own if this call fails.
   if (result.ok() && !result->succeeded) (void)co_await store_.EndLease(*lease);
   co_return result.status();
 }
@@ -106,13 +107,13 @@
   remove.kind = Operation::Kind::kDelete;
   remove.range.key = KeyOf(request);
   erase.success.push_back(remove);
-  for (int i = 0; i < kTriesToErase; ++i) {
+  for (int i = 0; i < kEraseAttempts; ++i) {
     const absl::StatusOr<TxnResult> result = co_await store_.Txn(erase);
     if (result.ok()) co_return;
     Log(LogLevel::kWarning, "quarantine_not_erased",
         {{"fingerprint", FingerprintText(request)},
          {"why", std::string(result.status().message())}});
-    co_await Pause(kFirstPause);
+    co_await Pause(kInitialRetryPause);
   }
 }
 
--- a/libs/relay/src/quarantine/quarantine_recorder.h
+++ b/libs/relay/src/quarantine/quarantine_recorder.h
@@ -1,5 +1,5 @@
-// Keeps quarantines in the store, each as a record under a lease that lasts as long: a fleet that
-// starts anew as a whole finds them there. One thread.
+// Records quarantines in the store, each under a lease of the same length, so that they survive a
+// restart of the whole fleet. Not thread-safe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,7 +14,7 @@
 
 class QuarantineRecorder {
  public:
-  // `prefix`: of the records' keys; FingerprintText() follows.
+  // `prefix`: of the records' keys, before FingerprintText().
   QuarantineRecorder(boost::asio::io_context& io, KeyValueStore& store, std::string prefix,
                      QuarantineService& service);
 
@@ -31,7 +31,7 @@
   KeyValueStore& store_;
   std::string prefix_;
   QuarantineService& service_;
-  std::set<RequestFingerprint> recording_;  // tries under way
+  std::set<RequestFingerprint> recording_;  // requests whose Record() runs
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/quarantine/quarantine_service.cc
+++ b/libs/relay/src/quarantine/quarantine_service.cc
@@ -17,35 +17,35 @@
 
 namespace asio = boost::asio;
 
-// A strike is sent at these times after the end of the back end: with 5 in 100 datagrams lost, one
-// in 8,000 strikes misses a node that counts.
-constexpr std::array<Duration, 3> kStrikePauses = {milliseconds(0), milliseconds(150),
-                                                   milliseconds(450)};
-// The same for word of a quarantine. Nodes that miss all of them learn it with the next change of
-// the catalog.
-constexpr std::array<Duration, 3> kNoticePauses = {milliseconds(0), milliseconds(250),
-                                                   milliseconds(750)};
-// A back end that has asked this node to back off is probed when that is over, while a doubt
-// lasts: BackendEndWatch.
-constexpr Duration kLongestProbeDelay = seconds(10);
-// A process that is ending may close its connections before it stops listening, and its host takes
-// connections for it until then: some milliseconds, more on a busy machine. A connection that was
-// made is looked at after these times, 0.6 s in all; where it was closed a new one is tried. With
-// engines that listened for 10 ms longer one request ended 30 of them, and 10 of its tries came
-// late; 3 at most come late with this.
-constexpr std::array<Duration, 7> kOpenChecks = {
+// Pauses before each transmission of a strike: with 5 in 100 datagrams lost, one in 8,000 strikes
+// misses a counting node.
+constexpr std::array<Duration, 3> kStrikeSendPauses = {milliseconds(0), milliseconds(150),
+                                                       milliseconds(450)};
+// The same for quarantine notices. Nodes that miss all transmissions learn of the quarantine with
+// the next change of the catalog.
+constexpr std::array<Duration, 3> kNoticeSendPauses = {milliseconds(0), milliseconds(250),
+                                                       milliseconds(750)};
+// A back end that has asked this node to back off is probed when the back-off is over, but no later
+// than BackendEndWatch keeps the suspicion.
+constexpr Duration kMaxProbeDelay = seconds(10);
+// A terminating process may close its connections before it stops listening, and its host accepts
+// connections for it until then: some milliseconds, more on a busy machine. A new connection is
+// checked after each of these pauses, 0.6 s in all; if it was closed, another one is tried. With
+// engines that listened for 10 ms longer, one request terminated 30 of them, and 10 of its attempts
+// came late; at most 3 come late with these checks.
+constexpr std::array<Duration, 7> kOpenCheckPauses = {
     milliseconds(5),  milliseconds(10),  milliseconds(20), milliseconds(40),
     milliseconds(80), milliseconds(160), milliseconds(320)};
-// Between ends at one moment and the verdict. Runs of others show in that time that a popular
-// request is innocent; without it a poll that was in flight at all of them was refused everywhere,
-// in 4 of 4 runs, 600 s long.
-constexpr Duration kSuspicionTime = milliseconds(500);
-// Back ends that take connections and close them unused are not worth more.
-constexpr int kMostProbeConnections = 3;
-// A request that a back end has run to the end at this node within that time is not held
-// responsible for the end of another one: of many copies of a popular request some run wherever a
-// back end ends.
-constexpr Duration kAlibiTime = seconds(10);
+// From back ends that terminate at one moment to the verdict. Completions at other nodes show in
+// this time that a popular request is innocent; without it a polling request that was in flight at
+// all of these back ends was refused everywhere for 600 s, in 4 of 4 runs.
+constexpr Duration kSuspicionPeriod = milliseconds(500);
+// Limit for back ends that accept connections and close them unused.
+constexpr int kMaxProbeConnections = 3;
+// A request that a back end has completed at this node within this time gets no strike when another
+// back end terminates: of many copies of a popular request, some run wherever a back end
+// terminates.
+constexpr Duration kExonerationTime = seconds(10);
 
 QuarantineNotice LiftedNotice(RequestFingerprint request) {
   QuarantineNotice notice;
@@ -58,14 +58,15 @@
 
 QuarantineService::QuarantineService(asio::io_context& io, std::string host,
                                      Duration connect_timeout, const Dispatcher& dispatcher,
-                                     const PeerTable& peers, UpstreamPool& pool, Examine examine)
+                                     const PeerTable& peers, UpstreamPool& pool,
+                                     ExaminePath examine)
     : io_(io),
       host_(std::move(host)),
       connect_timeout_(connect_timeout),
       dispatcher_(dispatcher),
       peers_(peers),
       pool_(pool),
-      examine_(std::move(examine)) {}
+      examine_path_(std::move(examine)) {}
 
 std::optional<Duration> QuarantineService::LeftFor(RequestFingerprint request,
                                                    TimePoint now) const {
@@ -91,7 +92,8 @@
   if (list_.LeftFor(request, now).has_value()) LiftEverywhere(request, "ran", now);
 }
 
-// The entry stands and does not announce an end: back ends that leave end when they are done.
+// True when the back end is listed and does not announce its end: back ends that leave terminate
+// once they are done.
 bool QuarantineService::IsReady(BackendKey backend) const {
   const Backend* known = dispatcher_.Registry().FindByKey(backend);
   return known != nullptr && known->state == BackendState::kReady &&
@@ -101,23 +103,23 @@
 void QuarantineService::NoteBroken(RequestFingerprint request, const Backend& backend,
                                    TimePoint now) {
   if (!IsReady(backend.key)) return;
-  Report(ends_.NoteBroken({request, backend.key, now}), now);
+  ReportStrikes(ends_.NoteBroken({request, backend.key, now}), now);
   if (ends_.TakeProbe(backend.key, now)) asio::co_spawn(io_, Probe(backend), asio::detached);
 }
 
-// A process that has ended refuses connections; one that lives gets a connection that the next
-// request uses.
+// A process that has terminated refuses connections; the connection to a live one is pooled for the
+// next request.
 asio::awaitable<void> QuarantineService::Probe(Backend backend) {
   const std::optional<Duration> backoff = dispatcher_.Registry().BackoffLeft(backend.key, Now());
-  if (backoff.has_value()) co_await Pause(std::min(*backoff, kLongestProbeDelay));
-  for (int i = 0; i < kMostProbeConnections; ++i) {
-    // Otherwise the end of its entry tells.
+  if (backoff.has_value()) co_await Pause(std::min(*backoff, kMaxProbeDelay));
+  for (int i = 0; i < kMaxProbeConnections; ++i) {
+    // If it may not be contacted, only the removal of its entry can show that it has terminated.
     if (!dispatcher_.Registry().MayContact(backend.key, Now())) co_return;
     const std::shared_ptr<UpstreamConnection> connection = pool_.MakeNew();
     GlobalCounters().backend_connects_total.Add();
     const ConnectResult result =
         co_await connection->Connect(backend.address, Now() + connect_timeout_);
-    if (result == ConnectResult::kRefused) co_await AskOthers(backend);
+    if (result == ConnectResult::kRefused) co_await ExamineRefusal(backend);
     if (result != ConnectResult::kConnected) co_return;
     if (co_await StaysOpen(*connection)) {
       ends_.NoteListening(backend.key);
@@ -127,15 +129,15 @@
   }
 }
 
-// Connections may be refused to this node alone, by a path that is cut.
-asio::awaitable<void> QuarantineService::AskOthers(Backend backend) {
-  const PathVerdict verdict = co_await examine_(backend);
+// The connection may have been refused to this node alone, by a cut path.
+asio::awaitable<void> QuarantineService::ExamineRefusal(Backend backend) {
+  const PathVerdict verdict = co_await examine_path_(backend);
   if (verdict == PathVerdict::kEnded) NoteEnded(backend.key, Now());
   if (verdict == PathVerdict::kCut) ends_.NoteListening(backend.key);
 }
 
 asio::awaitable<bool> QuarantineService::StaysOpen(UpstreamConnection& connection) {
-  for (const Duration pause : kOpenChecks) {
+  for (const Duration pause : kOpenCheckPauses) {
     co_await Pause(pause);
     if (!connection.IsQuiet()) co_return false;
   }
@@ -143,48 +145,48 @@
 }
 
 void QuarantineService::NoteEnded(BackendKey backend, TimePoint now) {
-  Report(ends_.NoteEnded(backend, now), now);
+  ReportStrikes(ends_.NoteEnded(backend, now), now);
 }
 
 void QuarantineService::NoteReplaced(BackendKey backend, TimePoint now) {
-  Report(ends_.NoteReplaced(backend, now), now);
+  ReportStrikes(ends_.NoteReplaced(backend, now), now);
 }
 
-void QuarantineService::Report(const std::vector<Strike>& strikes, TimePoint now) {
+void QuarantineService::ReportStrikes(const std::vector<Strike>& strikes, TimePoint now) {
   if (strikes.empty()) return;
-  std::vector<Strike> held;
+  std::vector<Strike> counted;
   for (const Strike& strike : strikes) {
-    if (!runs_.RanSince(strike.request, now - kAlibiTime)) held.push_back(strike);
+    if (!runs_.RanSince(strike.request, now - kExonerationTime)) counted.push_back(strike);
   }
-  GlobalCounters().strikes_total.Add(static_cast<int64_t>(held.size()));
+  GlobalCounters().strikes_total.Add(static_cast<int64_t>(counted.size()));
   Log(LogLevel::kWarning, "backend_ended",
       {{"backend_key", std::to_string(strikes.front().backend)},
        {"requests", std::to_string(strikes.size())},
-       {"strikes", std::to_string(held.size())},
+       {"strikes", std::to_string(counted.size())},
        {"first", FingerprintText(strikes.front().request)}});
-  // Also here: a node that reaches no other one keeps its own count.
-  for (const Strike& strike : held) Count(strike);
-  if (transport_.send && !held.empty()) {
-    asio::co_spawn(io_, TellStrikes(std::move(held)), asio::detached);
+  // Counted at this node too, in case it reaches no other one.
+  for (const Strike& strike : counted) Count(strike);
+  if (transport_.send_strikes && !counted.empty()) {
+    asio::co_spawn(io_, SendStrikes(std::move(counted)), asio::detached);
   }
 }
 
-std::vector<std::string> QuarantineService::CountersOf(RequestFingerprint request) const {
+std::vector<std::string> QuarantineService::CountingNodesOf(RequestFingerprint request) const {
   std::vector<std::string> hosts = {host_};
   for (const LivePeer& peer : peers_.LivePeers()) hosts.push_back(peer.host);
   return StrikeCountersOf(request, std::move(hosts));
 }
 
-asio::awaitable<void> QuarantineService::TellStrikes(std::vector<Strike> strikes) {
-  for (const Duration pause : kStrikePauses) {
+asio::awaitable<void> QuarantineService::SendStrikes(std::vector<Strike> strikes) {
+  for (const Duration pause : kStrikeSendPauses) {
     if (pause > Duration(0)) co_await Pause(pause);
     std::map<std::string, StrikeReport> reports;  // by host
     for (const Strike& strike : strikes) {
-      for (const std::string& host : CountersOf(strike.request)) {
+      for (const std::string& host : CountingNodesOf(strike.request)) {
         if (host != host_) reports[host].strikes.push_back(strike);
       }
     }
-    for (const auto& [host, report] : reports) transport_.send(host, report);
+    for (const auto& [host, report] : reports) transport_.send_strikes(host, report);
   }
 }
 
@@ -202,8 +204,8 @@
   }
 }
 
-// All that was in flight at these back ends has the same strikes; one that runs elsewhere meanwhile
-// is innocent. An end at another moment decides at once.
+// All requests that were in flight at these back ends have the same strikes; a request that
+// completes elsewhere meanwhile is innocent. A strike at another moment decides at once.
 void QuarantineService::Suspect(const Verdict& verdict, TimePoint now) {
   if (!suspected_.insert(verdict.request).second) return;
   if (runs_.RanSince(verdict.request, verdict.first_strike)) {
@@ -213,12 +215,12 @@
   QuarantineNotice question;
   question.request = verdict.request;
   question.first_strike_age = now - verdict.first_strike;
-  if (transport_.spread) asio::co_spawn(io_, TellAll(question), asio::detached);
+  if (transport_.broadcast_notice) asio::co_spawn(io_, BroadcastNotice(question), asio::detached);
   asio::co_spawn(io_, DecideLater(verdict.request), asio::detached);
 }
 
 asio::awaitable<void> QuarantineService::DecideLater(RequestFingerprint request) {
-  co_await Pause(kSuspicionTime);
+  co_await Pause(kSuspicionPeriod);
   suspected_.erase(request);
   const std::optional<Verdict> verdict = ledger_.VerdictOn(request);
   if (!verdict.has_value() || list_.LeftFor(request, Now()).has_value()) co_return;
@@ -234,10 +236,10 @@
   notice.left = list_.LeftFor(verdict.request, now).value_or(kQuarantineTime);
   notice.first_strike_age = now - verdict.first_strike;
   notice.backends = verdict.backends;
-  if (transport_.spread) asio::co_spawn(io_, TellAll(notice), asio::detached);
-  const std::vector<std::string> counters = CountersOf(verdict.request);
-  const auto self = std::find(counters.begin(), counters.end(), host_);
-  const auto rank = static_cast<size_t>(self - counters.begin());
+  if (transport_.broadcast_notice) asio::co_spawn(io_, BroadcastNotice(notice), asio::detached);
+  const std::vector<std::string> counting_nodes = CountingNodesOf(verdict.request);
+  const auto self = std::find(counting_nodes.begin(), counting_nodes.end(), host_);
+  const auto rank = static_cast<size_t>(self - counting_nodes.begin());
   if (recorder_.record) recorder_.record(verdict.request, rank);
 }
 
@@ -252,7 +254,7 @@
        {"for_s", std::to_string(static_cast<int64_t>(ToSeconds(quarantined.until - now)))}});
   const auto watches = watches_.find(quarantined.request);
   if (watches == watches_.end()) return;
-  // A callback may end its watch.
+  // Iterates over a copy: a callback may call Unwatch().
   const std::map<WatchId, std::function<void()>> copies = watches->second;
   for (const auto& [watch, on_quarantined] : copies) on_quarantined();
 }
@@ -268,20 +270,21 @@
 void QuarantineService::LiftEverywhere(RequestFingerprint request, std::string_view why,
                                        TimePoint now) {
   Lift(request, why, now);
-  TellLifted(request);
+  BroadcastLifted(request);
   if (recorder_.erase) recorder_.erase(request);
 }
 
-void QuarantineService::TellLifted(RequestFingerprint request) {
-  if (transport_.spread) asio::co_spawn(io_, TellAll(LiftedNotice(request)), asio::detached);
+void QuarantineService::BroadcastLifted(RequestFingerprint request) {
+  if (transport_.broadcast_notice)
+    asio::co_spawn(io_, BroadcastNotice(LiftedNotice(request)), asio::detached);
 }
 
-asio::awaitable<void> QuarantineService::TellAll(QuarantineNotice notice) {
-  for (const Duration pause : kNoticePauses) {
+asio::awaitable<void> QuarantineService::BroadcastNotice(QuarantineNotice notice) {
+  for (const Duration pause : kNoticeSendPauses) {
     if (pause > Duration(0)) co_await Pause(pause);
     const bool is_outdated = !notice.is_lifted && list_.WasLifted(notice.request, Now());
     if (is_outdated) co_return;
-    transport_.spread(notice);
+    transport_.broadcast_notice(notice);
   }
 }
 
@@ -295,7 +298,7 @@
   if (notice.is_lifted) return Lift(notice.request, "peer", now);
   const bool is_innocent = runs_.RanSince(notice.request, now - notice.first_strike_age);
   if (notice.left <= Duration(0)) {
-    if (is_innocent) TellCounters(notice.request);
+    if (is_innocent) NotifyCountingNodes(notice.request);
     return;
   }
   ledger_.Explain(notice.backends, notice.request, now);
@@ -303,11 +306,11 @@
   if (is_innocent) LiftEverywhere(notice.request, "ran_before", now);
 }
 
-// Of a request that is only suspected no other node has to know that it ran.
-void QuarantineService::TellCounters(RequestFingerprint request) {
-  if (!transport_.tell) return;
-  for (const std::string& host : CountersOf(request)) {
-    if (host != host_) transport_.tell(host, LiftedNotice(request));
+// Only the counting nodes need to know that a request that is merely suspected has completed.
+void QuarantineService::NotifyCountingNodes(RequestFingerprint request) {
+  if (!transport_.send_notice) return;
+  for (const std::string& host : CountingNodesOf(request)) {
+    if (host != host_) transport_.send_notice(host, LiftedNotice(request));
   }
 }
 
@@ -315,12 +318,12 @@
   Quarantine({request, now + kQuarantineTime}, "store", now);
 }
 
-// An operator or another node has taken it back, or its time is over. The readers of the store tell
-// the others.
+// An operator or another node has removed the record, or it has expired. Nodes that read the store
+// notify the others.
 void QuarantineService::NoteErased(RequestFingerprint request, TimePoint now) {
   if (!list_.LeftFor(request, now).has_value()) return;
   Lift(request, "record_gone", now);
-  TellLifted(request);
+  BroadcastLifted(request);
 }
 
 void QuarantineService::Merge(const std::vector<QuarantinedRequest>& quarantined, TimePoint now) {
@@ -331,7 +334,7 @@
   const auto has_entry = [this](BackendKey backend) {
     return dispatcher_.Registry().FindByKey(backend) != nullptr;
   };
-  Report(ends_.Settle(has_entry, now), now);
+  ReportStrikes(ends_.Settle(has_entry, now), now);
   ledger_.Expire(now);
   list_.Expire(now);
 }
--- a/libs/relay/src/quarantine/quarantine_service.h
+++ b/libs/relay/src/quarantine/quarantine_service.h
@@ -1,9 +1,10 @@
-// Keeps requests under which back ends end from all further back ends, whatever id they come under
-// and whichever node they come to. The node that had a request at a back end that ended tells a few
-// nodes, chosen by the request; each of them counts by itself, and the first that has counted
-// enough tells all nodes and has it recorded in the store, for nodes that start or come back later.
-// Where all back ends ended at one moment, nodes are asked first whether it ran to the end. Any
-// node at which a back end has run the request to the end since lifts that again. One thread.
+// Quarantines requests under which back ends terminate: they are sent to no further back end,
+// whatever id they come with and whichever node receives them. The node that had a request at a
+// back end that terminated reports a strike to a few nodes, chosen by the request. Each of these
+// counts on its own; the first to reach the limit notifies all nodes and has the quarantine
+// recorded in the store, for nodes that start or come back later. When all of the back ends
+// terminated at one moment, nodes are asked first whether the request has completed. Any node at
+// which a back end has completed the request since then lifts the quarantine. Not thread-safe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -31,39 +32,41 @@
 
 class QuarantineService {
  public:
-  // How messages reach other nodes.
+  // Sends messages to other nodes.
   struct Transport {
-    std::function<void(const std::string& host, const StrikeReport& report)> send;
-    std::function<void(const std::string& host, const QuarantineNotice& notice)> tell;
+    std::function<void(const std::string& host, const StrikeReport& report)> send_strikes;
+    std::function<void(const std::string& host, const QuarantineNotice& notice)> send_notice;
     // To all live nodes.
-    std::function<void(const QuarantineNotice& notice)> spread;
+    std::function<void(const QuarantineNotice& notice)> broadcast_notice;
   };
 
-  // How the store keeps quarantines.
+  // Records quarantines in the store.
   struct Recorder {
-    // `rank`: this node's place among those that count; the first one writes at once.
+    // `rank`: this node's place, from 0, among the nodes that count the request's strikes; the
+    // first one writes at once.
     std::function<void(RequestFingerprint request, size_t rank)> record;
     std::function<void(RequestFingerprint request)> erase;
   };
 
-  // Finds out, with other nodes, why a back end has refused a connection to this one.
-  using Examine = std::function<boost::asio::awaitable<PathVerdict>(Backend backend)>;
+  // Determines, with the help of other nodes, why a back end has refused a connection from this
+  // node.
+  using ExaminePath = std::function<boost::asio::awaitable<PathVerdict>(Backend backend)>;
 
   using WatchId = uint64_t;
 
-  // `host`: of this node, as its peers know it. A probe of a back end takes `connect_timeout` at
-  // most.
+  // `host`: this node's host, as its peers know it. `connect_timeout`: limit for each connection
+  // attempt of a probe.
   QuarantineService(boost::asio::io_context& io, std::string host, Duration connect_timeout,
                     const Dispatcher& dispatcher, const PeerTable& peers, UpstreamPool& pool,
-                    Examine examine);
+                    ExaminePath examine);
 
-  // Without a transport this node counts by itself.
+  // Without a transport this node counts only its own strikes.
   void SetTransport(Transport transport) { transport_ = std::move(transport); }
 
-  // Without a recorder nothing outlives the nodes.
+  // Without a recorder quarantines do not survive a restart of all nodes.
   void SetRecorder(Recorder recorder) { recorder_ = std::move(recorder); }
 
-  // How long the request is still kept from back ends; nothing when it may be sent. To be asked
+  // Returns the remaining quarantine of the request; nullopt when it may be sent. Must be called
   // right before every send.
   std::optional<Duration> LeftFor(RequestFingerprint request, TimePoint now) const;
 
@@ -71,14 +74,15 @@
   WatchId Watch(RequestFingerprint request, std::function<void()> on_quarantined);
   void Unwatch(RequestFingerprint request, WatchId watch);
 
-  // A back end has run the request to the end.
+  // A back end has run the request to completion.
   void NoteCompleted(RequestFingerprint request, TimePoint now);
 
   // The connection to a back end broke while it had the request.
   void NoteBroken(RequestFingerprint request, const Backend& backend, TimePoint now);
 
-  // Its host refuses connections to more than this node, or another process has its address. That
-  // it takes connections proves nothing: see BackendEndWatch.
+  // The back end has terminated: its host refuses connections from other nodes too (NoteEnded), or
+  // another process has its address (NoteReplaced). Accepted connections prove nothing: see
+  // BackendEndWatch.
   void NoteEnded(BackendKey backend, TimePoint now);
   void NoteReplaced(BackendKey backend, TimePoint now);
 
@@ -88,26 +92,26 @@
   void OnStrikes(const StrikeReport& report);
   void OnNotice(const QuarantineNotice& notice, TimePoint now);
 
-  // The store has a record, or no longer.
+  // The store has a quarantine record of the request, or has it no longer.
   void NoteRecorded(RequestFingerprint request, TimePoint now);
   void NoteErased(RequestFingerprint request, TimePoint now);
 
-  // As a peer's catalog tells them.
+  // Adds the quarantines that a peer's catalog lists.
   void Merge(const std::vector<QuarantinedRequest>& quarantined, TimePoint now);
 
   const QuarantineList& List() const { return list_; }
 
-  // To be called about twice a second.
+  // Must be called about twice a second.
   void Tick(TimePoint now);
 
  private:
   boost::asio::awaitable<void> Probe(Backend backend);
-  boost::asio::awaitable<void> AskOthers(Backend backend);
+  boost::asio::awaitable<void> ExamineRefusal(Backend backend);
   boost::asio::awaitable<bool> StaysOpen(UpstreamConnection& connection);
-  boost::asio::awaitable<void> TellStrikes(std::vector<Strike> strikes);
-  boost::asio::awaitable<void> TellAll(QuarantineNotice notice);
+  boost::asio::awaitable<void> SendStrikes(std::vector<Strike> strikes);
+  boost::asio::awaitable<void> BroadcastNotice(QuarantineNotice notice);
   boost::asio::awaitable<void> Pause(Duration duration);
-  void Report(const std::vector<Strike>& strikes, TimePoint now);
+  void ReportStrikes(const std::vector<Strike>& strikes, TimePoint now);
   void Count(const Strike& strike);
   void Suspect(const Verdict& verdict, TimePoint now);
   boost::asio::awaitable<void> DecideLater(RequestFingerprint request);
@@ -115,9 +119,9 @@
   void Quarantine(const QuarantinedRequest& quarantined, std::string_view source, TimePoint now);
   void Lift(RequestFingerprint request, std::string_view why, TimePoint now);
   void LiftEverywhere(RequestFingerprint request, std::string_view why, TimePoint now);
-  void TellLifted(RequestFingerprint request);
-  void TellCounters(RequestFingerprint request);
-  std::vector<std::string> CountersOf(RequestFingerprint request) const;
+  void BroadcastLifted(RequestFingerprint request);
+  void NotifyCountingNodes(RequestFingerprint request);
+  std::vector<std::string> CountingNodesOf(RequestFingerprint request) const;
   bool IsReady(BackendKey backend) const;
 
   boost::asio::io_context& io_;
@@ -126,14 +130,14 @@
   const Dispatcher& dispatcher_;
   const PeerTable& peers_;
   UpstreamPool& pool_;
-  Examine examine_;
+  ExaminePath examine_path_;
   Transport transport_;
   Recorder recorder_;
   BackendEndWatch ends_;
   RecentRuns runs_;
   StrikeLedger ledger_;
   QuarantineList list_;
-  std::unordered_set<RequestFingerprint> suspected_;  // DecideLater() runs
+  std::unordered_set<RequestFingerprint> suspected_;  // those whose DecideLater() runs
   std::unordered_map<RequestFingerprint, std::map<WatchId, std::function<void()>>> watches_;
   WatchId next_watch_ = 1;
 };
