--- a/libs/relay/src/duties/duty_holder.cc
+++ b/libs/relay/src/duties/duty_holder.cc
@@ -17,19 +17,19 @@
 
 namespace asio = boost::asio;
 
-constexpr Duration kPoll = milliseconds(200);
-// Until a node that starts knows enough of the others to tell who the candidates are.
-constexpr Duration kHearing = seconds(1);
-// The candidates behind the first one ask less often whether the duty is free, and wait for those
-// before them.
-constexpr Duration kFirstAsks = milliseconds(400);
-constexpr Duration kOthersAsk = milliseconds(1200);
-constexpr Duration kHeadStart = seconds(1);
-constexpr int kRenewalsInLease = 4;
-// A holder that is no candidate any more gives the duty up after this time: other nodes tell only
-// the candidates what a holder has to know. Rankings that change for a moment cost no change of
+constexpr Duration kPollInterval = milliseconds(200);
+// Time in which a node that starts learns enough about its peers to rank the candidates.
+constexpr Duration kStartupDelay = seconds(1);
+// The candidates after the first one ask less often whether the duty is free, and let those before
+// them take it first.
+constexpr Duration kFirstCandidateInterval = milliseconds(400);
+constexpr Duration kOtherCandidatesInterval = milliseconds(1200);
+constexpr Duration kDelayPerRank = seconds(1);
+constexpr int kRenewalsPerLease = 4;
+// A holder that is no longer a candidate releases the duty after this time, since other nodes send
+// what a holder has to know to the candidates only. Brief changes of the ranking cause no change of
 // holder.
-constexpr Duration kOutrankedFor = seconds(1);
+constexpr Duration kOutrankedGracePeriod = seconds(1);
 
 }  // namespace
 
@@ -59,7 +59,7 @@
 
 asio::awaitable<void> DutyHolder::Run() {
   Timer timer(io_);
-  Duration pause = kHearing;
+  Duration pause = kStartupDelay;
   while (!stopping_) {
     timer.expires_after(pause);
     boost::system::error_code ignored;
@@ -67,12 +67,12 @@
     if (stopping_) break;
     const std::optional<size_t> rank = candidacy_.rank();
     const TimePoint now = Now();
-    pause = kPoll;
+    pause = kPollInterval;
     if (rank.has_value()) outranked_since_ = now;
     if (lease_.IsHeld(now)) {
-      if (now - outranked_since_ > kOutrankedFor) {
-        co_await GiveUp("outranked");
-      } else if (now - renewed_ >= terms_.lease / kRenewalsInLease) {
+      if (now - outranked_since_ > kOutrankedGracePeriod) {
+        co_await Release("outranked");
+      } else if (now - renewed_ >= terms_.lease / kRenewalsPerLease) {
         co_await Renew();
       }
       continue;
@@ -82,8 +82,8 @@
       free_since_.reset();
       continue;
     }
-    pause = *rank == 0 ? kFirstAsks : kOthersAsk;
-    co_await TryToTake(*rank);
+    pause = *rank == 0 ? kFirstCandidateInterval : kOtherCandidatesInterval;
+    co_await TakeIfFree(*rank);
   }
 }
 
@@ -112,14 +112,14 @@
   co_return true;
 }
 
-asio::awaitable<void> DutyHolder::TryToTake(size_t rank) {
+asio::awaitable<void> DutyHolder::TakeIfFree(size_t rank) {
   if (!co_await IsFree()) {
     free_since_.reset();
     co_return;
   }
   const TimePoint now = Now();
   if (!free_since_.has_value()) free_since_ = now;
-  if (now - *free_since_ < static_cast<int64_t>(rank) * kHeadStart) co_return;
+  if (now - *free_since_ < static_cast<int64_t>(rank) * kDelayPerRank) co_return;
   co_await Take();
 }
 
@@ -141,7 +141,7 @@
   std::optional<FencingToken> token;
   if (result.ok() && result->succeeded) token = result->revision;
   if (!result.ok()) {
-    // The answer may be lost after the write.
+    // The write may have succeeded with its answer lost.
     const std::optional<KeyValue> own = co_await ReadOwn(value);
     if (own.has_value()) token = own->mod_revision;
   }
@@ -150,8 +150,8 @@
     Win(*token, asked);
     co_return;
   }
-  // A write that is still to be carried out fails without its lease; where this call fails as well
-  // the lease runs out by itself.
+  // A write that is still in flight fails without its lease. If this call fails as well, the lease
+  // expires on its own.
   (void)co_await store_.EndLease(*granted);
 }
 
@@ -194,7 +194,7 @@
   Log(LogLevel::kWarning, "duty_lost", {{"duty", key_}, {"why", std::string(why)}});
 }
 
-asio::awaitable<void> DutyHolder::GiveUp(std::string_view why) {
+asio::awaitable<void> DutyHolder::Release(std::string_view why) {
   const int64_t store_lease = store_lease_;
   Lose(why);
   (void)co_await store_.EndLease(store_lease);
@@ -202,7 +202,7 @@
 
 asio::awaitable<void> DutyHolder::Stop() {
   stopping_ = true;
-  if (store_lease_ != 0) co_await GiveUp("stopping");
+  if (store_lease_ != 0) co_await Release("stopping");
 }
 
 }  // namespace cartsail
--- a/libs/relay/src/duties/engine_ordering.cc
+++ b/libs/relay/src/duties/engine_ordering.cc
@@ -57,7 +57,7 @@
   return {};
 }
 
-// The nodes that place the service's requests know its load.
+// The candidates are the nodes that place the first scaled service's requests: they know its load.
 std::optional<size_t> EngineOrdering::Rank() const {
   const std::string service = FirstScaledService();
   if (service.empty()) return std::nullopt;
@@ -112,7 +112,7 @@
                                    .first->second;
     const CapacityView view = View(service, now);
     for (const EngineOrder& order : planner.Plan(view, now)) {
-      if (!under_way_.insert({service.name, order.zone, order.kind}).second) continue;
+      if (!in_progress_.insert({service.name, order.zone, order.kind}).second) continue;
       const auto zone = view.engines.find(order.zone);
       const ZoneEngines there = zone == view.engines.end() ? ZoneEngines() : zone->second;
       Log(LogLevel::kInfo, "engines_ordered",
@@ -127,13 +127,13 @@
            {"requests", std::to_string(view.requests)},
            {"wanted", std::to_string(planner.Wanted())},
            {"token", std::to_string(token)}});
-      asio::co_spawn(context_.io, Give(service.name, order, token), asio::detached);
+      asio::co_spawn(context_.io, SendOrder(service.name, order, token), asio::detached);
     }
   }
 }
 
-asio::awaitable<void> EngineOrdering::Give(std::string service, EngineOrder order,
-                                           FencingToken token) {
+asio::awaitable<void> EngineOrdering::SendOrder(std::string service, EngineOrder order,
+                                                FencingToken token) {
   OrderOutcome outcome = OrderOutcome::kAccepted;
   if (context_.options.duties.capacity.sends_orders) {
     holder_.NoteAct();
@@ -151,11 +151,12 @@
            {"kind", std::string(NameOf(order.kind))},
            {"outcome", std::string(NameOf(outcome))},
            {"why", std::string(status.message())}});
-      // Refused for a greater token: the record in the store is another node's.
+      // If the platform refused because of a greater token, the record in the store is another
+      // node's.
       if (is_refused) (void)co_await holder_.Confirm();
     }
   }
-  under_way_.erase({service, order.zone, order.kind});
+  in_progress_.erase({service, order.zone, order.kind});
   if (token != token_) co_return;
   const auto planner = planners_.find(service);
   if (planner != planners_.end()) planner->second.OnOrdered(order, outcome, Now());
--- a/libs/relay/src/duties/engine_ordering.h
+++ b/libs/relay/src/duties/engine_ordering.h
@@ -1,5 +1,5 @@
-// Orders engines for the services whose number of engines the platform lets be chosen, while this
-// node holds that duty. One thread.
+// Autoscaling: orders engines for the services whose number of engines the platform allows to be
+// chosen, while this node holds the ordering duty. Not thread-safe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -23,15 +23,15 @@
  public:
   EngineOrdering(RelayContext& context, KeyValueStore& store, DutyPlatform& platform);
 
-  // Runs until the process ends.
+  // Starts the planning, which runs until the process ends.
   void Start();
 
-  // Gives the duty up, for a planned stop.
+  // Releases the duty, for a planned shutdown.
   boost::asio::awaitable<void> Stop() { return holder_.Stop(); }
 
  private:
-  // An order under way: one at a time for each service, zone and kind.
-  using LineKey = std::tuple<std::string, std::string, EngineKind>;
+  // Identifies an order in progress: at most one for each service, zone and kind.
+  using OrderKey = std::tuple<std::string, std::string, EngineKind>;
 
   boost::asio::awaitable<void> Run();
   std::optional<size_t> Rank() const;
@@ -39,14 +39,15 @@
   void PlanAll(FencingToken token, TimePoint now);
   CapacityView View(const ServiceRule& service, TimePoint now) const;
   void AddTo(CapacityView* view, const Backend& backend, TimePoint now) const;
-  boost::asio::awaitable<void> Give(std::string service, EngineOrder order, FencingToken token);
+  boost::asio::awaitable<void> SendOrder(std::string service, EngineOrder order,
+                                         FencingToken token);
 
   RelayContext& context_;
   DutyPlatform& platform_;
   DutyHolder holder_;
-  FencingToken token_ = 0;                           // under which `planners_` were made
+  FencingToken token_ = 0;                           // under which `planners_` were made; 0: none
   std::map<std::string, CapacityPlanner> planners_;  // by service
-  std::set<LineKey> under_way_;
+  std::set<OrderKey> in_progress_;
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/duties/usage_counting.cc
+++ b/libs/relay/src/duties/usage_counting.cc
@@ -10,15 +10,16 @@
 namespace cartsail {
 namespace {
 
-// The running window is told so often: what is lost with a node is what it counted since. In larger
-// fleets it is told less often, so that a candidate gets 100 such messages a second at most: of 200
-// nodes it got 338 messages a second with this limit left out, fewer than 200 with it (counted).
+// Interval at which the running window is sent: a node that is lost takes with it what it counted
+// since. Larger fleets send it less often, so that a candidate receives at most 100 of these
+// messages a second: with 200 nodes it received 338 messages a second without this limit, fewer
+// than 200 with it.
 constexpr Duration kRunningInterval = milliseconds(700);
-constexpr Duration kRunningSpacing = milliseconds(10);
-// Of one message, so that it stays within a packet of 1,500 bytes: a name of 11 letters and its
-// count take about 20.
-constexpr size_t kMostTenants = 60;
-// Windows are kept until their reports are due, and some more, for a holder that comes late.
+constexpr Duration kRunningIntervalPerNode = milliseconds(10);
+// Keeps a message within a packet of 1,500 bytes: a name of 11 letters and its count take about 20.
+constexpr size_t kMaxTenantsPerMessage = 60;
+// Windows are kept until their reports are due, and this many windows longer, for a holder that
+// takes over late.
 constexpr int kWindowsBeyondDue = 2;
 
 }  // namespace
@@ -38,7 +39,7 @@
 
 Duration UsageCounting::RunningInterval() const {
   const auto nodes = static_cast<int64_t>(peers_.LiveCount()) + 1;
-  return std::max<Duration>(kRunningInterval, nodes * kRunningSpacing);
+  return std::max<Duration>(kRunningInterval, nodes * kRunningIntervalPerNode);
 }
 
 UsageShare UsageCounting::ShareOf(WindowNumber window, bool closed) const {
@@ -50,18 +51,18 @@
   return share;
 }
 
-// What `host` is to be told now.
+// Returns the shares that are due to be sent to `host`.
 std::vector<UsageShare> UsageCounting::SharesFor(const std::string& host, TimePoint now) {
   const WindowNumber running = WindowAt(clock_.At(now), terms_);
-  std::set<WindowNumber>& received = received_[host];
-  received.erase(received.begin(), received.lower_bound(FirstKept(now)));
+  std::set<WindowNumber>& confirmed = confirmed_[host];
+  confirmed.erase(confirmed.begin(), confirmed.lower_bound(FirstKept(now)));
   std::vector<UsageShare> shares;
   for (WindowNumber window = FirstKept(now); window < running; ++window) {
-    if (!received.contains(window)) shares.push_back(ShareOf(window, true));
+    if (!confirmed.contains(window)) shares.push_back(ShareOf(window, true));
   }
-  TimePoint& told = running_told_[host];
-  if (now - told >= RunningInterval()) {
-    told = now;
+  TimePoint& sent_at = running_sent_[host];
+  if (now - sent_at >= RunningInterval()) {
+    sent_at = now;
     shares.push_back(ShareOf(running, false));
   }
   return shares;
@@ -74,7 +75,7 @@
     part.counts.clear();
     for (const auto& [tenant, count] : share.counts) {
       part.counts[tenant] = count;
-      if (part.counts.size() < kMostTenants) continue;
+      if (part.counts.size() < kMaxTenantsPerMessage) continue;
       message.shares = {part};
       transport_.send_shares(host, message);
       part.counts.clear();
@@ -125,7 +126,7 @@
 
 void UsageCounting::OnReceipt(const std::string& host, const UsageReceipt& receipt) {
   if (receipt.process != process_) return;
-  received_[host].insert(receipt.windows.begin(), receipt.windows.end());
+  confirmed_[host].insert(receipt.windows.begin(), receipt.windows.end());
 }
 
 }  // namespace cartsail
--- a/libs/relay/src/duties/usage_counting.h
+++ b/libs/relay/src/duties/usage_counting.h
@@ -1,5 +1,5 @@
-// Counts the requests that this node has had run, by tenant and window, tells the counts to the
-// nodes that may report them, and keeps what other nodes tell it. One thread.
+// Counts the requests of this node that began to run, by tenant and window, sends the counts to the
+// nodes that may report usage, and keeps the counts that other nodes send. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 
 namespace cartsail {
 
-// The order of the nodes that may report usage.
+// Purpose by which the nodes that may report usage are ranked.
 inline constexpr char kUsagePurpose[] = "usage";
 
 class UsageCounting {
@@ -29,31 +29,32 @@
     std::function<void(const std::string& host, const UsageReceipt& receipt)> send_receipt;
   };
 
-  // Without `enabled` nothing is counted or sent.
+  // When `enabled` is false nothing is counted or sent.
   UsageCounting(const PeerTable& peers, UsageTerms terms, bool enabled);
 
   void SetTransport(Transport transport) { transport_ = std::move(transport); }
 
-  // A request of `tenant` began to run.
+  // A request of `tenant` has begun to run. Not counted when `tenant` is empty.
   void NoteStarted(const std::string& tenant, TimePoint now);
 
-  // Clocks of the fleet.
+  // The fleet's time of day, by which windows are numbered.
   FleetClock& Clock() { return clock_; }
 
-  // To be called each kTick: tells others what they have not got. `wall`: of this node's clock.
+  // Must be called every kTick. Sends counts that other nodes have not confirmed. `wall`: the time
+  // of day by this node's clock.
   void Tick(TimePoint now, WallTime wall);
   static constexpr Duration kTick = milliseconds(250);
 
   void OnShares(const std::string& host, const UsageShares& shares, TimePoint now);
   void OnReceipt(const std::string& host, const UsageReceipt& receipt);
 
-  // What all nodes have counted, as far as this one knows.
+  // Counts of all nodes, as far as this node knows them.
   const UsageCollector& Collected() const { return collector_; }
 
-  // The first window whose counts are still kept.
+  // Returns the first window whose counts are still kept.
   WindowNumber FirstKept(TimePoint now) const;
 
-  // Counts of this window came after it was reported.
+  // The window has been reported: counts of it that come from now on are late.
   void NoteReported(WindowNumber window) { reported_.insert(window); }
 
  private:
@@ -70,8 +71,8 @@
   FleetClock clock_;
   UsageLedger ledger_;
   UsageCollector collector_;
-  std::map<std::string, std::set<WindowNumber>> received_;  // whole windows, by host told
-  std::map<std::string, TimePoint> running_told_;           // the running window, by host told
+  std::map<std::string, std::set<WindowNumber>> confirmed_;  // by host: windows it has confirmed
+  std::map<std::string, TimePoint> running_sent_;            // by host: when last sent
   std::set<WindowNumber> reported_;
 };
 
--- a/libs/relay/src/duties/usage_message.h
+++ b/libs/relay/src/duties/usage_message.h
@@ -1,4 +1,4 @@
-// What nodes tell each other of usage.
+// Messages that nodes exchange about usage. Plain structs.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,13 @@
 
 namespace cartsail {
 
-// What the sender has counted, for the nodes that may report it.
+// Counts of the sender, for the nodes that may report usage.
 struct UsageShares {
-  uint32_t process = 0;  // of the sender
+  uint32_t process = 0;  // number of the sender's process
   std::vector<UsageShare> shares;
 };
 
-// All that this process has counted in these windows is known to the sender.
+// Confirms that the sender has all counts of `process`, at the receiver's host, in `windows`.
 struct UsageReceipt {
   uint32_t process = 0;
   std::vector<WindowNumber> windows;
--- a/libs/relay/src/duties/usage_reporter.cc
+++ b/libs/relay/src/duties/usage_reporter.cc
@@ -21,11 +21,11 @@
 namespace asio = boost::asio;
 
 constexpr char kDutyKey[] = "cartsail/duty/usage";
-constexpr Duration kPoll = milliseconds(200);
-// Time that a holder needs from its decision to the platform's answer, repeats included, as a part
-// of the time until a report is due.
-constexpr int kSendingPart = 4;
-// Records of so many windows stay in the store, for the next holder.
+constexpr Duration kPollInterval = milliseconds(200);
+// Time that a holder needs from its decision to the platform's answer, retries included, as a
+// fraction (1/n) of the time until a report is due.
+constexpr int kSendingFraction = 4;
+// Number of windows whose records stay in the store, for the next holder.
 constexpr WindowNumber kRecordsKept = 8;
 
 }  // namespace
@@ -55,21 +55,21 @@
 asio::awaitable<void> UsageReporter::Run() {
   Timer timer(io_);
   while (true) {
-    timer.expires_after(kPoll);
+    timer.expires_after(kPollInterval);
     boost::system::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     const std::optional<FencingToken> token = holder_.MayAct();
     if (!token.has_value()) continue;
     if (*token != token_) co_await TakeOver(*token);
     if (*token != token_) continue;
-    AddDue(Now());
+    AddDueReports(Now());
     std::vector<WindowNumber> windows;
     for (const auto& [window, report] : reports_) windows.push_back(window);
     for (const WindowNumber window : windows) co_await Advance(window, *token);
   }
 }
 
-// What earlier holders have recorded is sent again as it stands: they may not have sent it.
+// Records of earlier holders are sent again unchanged: their reports may not have been sent.
 asio::awaitable<void> UsageReporter::TakeOver(FencingToken token) {
   RangeRequest request;
   request.key = std::string(kUsageRecordPrefix);
@@ -78,32 +78,33 @@
   if (!result.ok()) co_return;
   token_ = token;
   reports_.clear();
-  ended_.clear();
+  finished_.clear();
   const TimePoint now = Now();
-  PassOver(now);
+  SkipEarlierWindows(now);
   const WindowNumber first = counting_.FirstKept(now);
   for (const KeyValue& item : result->kvs) {
     const WindowNumber window = WindowOfUsageRecord(item.key);
-    if (window < first || ended_.contains(window)) continue;
+    if (window < first || finished_.contains(window)) continue;
     reports_.emplace(window, WindowReport(DecodeUsageRecord(item.value), true));
   }
 }
 
-// Windows that were due under an earlier holder, or began before the system was first started.
-void UsageReporter::PassOver(TimePoint now) {
+// Skips windows that were due under an earlier holder or began before the first start of the
+// system.
+void UsageReporter::SkipEarlierWindows(TimePoint now) {
   const WallTime wall = counting_.Clock().At(now);
   const WallTime process_began = wall - std::chrono::duration_cast<WallTime>(now - started_);
   for (WindowNumber window = counting_.FirstKept(now); window < WindowAt(wall, terms_); ++window) {
     const bool was_due = wall >= EndOf(window, terms_) + terms_.due;
     const bool is_before = first_start_ && EndOf(window - 1, terms_) < process_began;
-    if (was_due || is_before) ended_.insert(window);
+    if (was_due || is_before) finished_.insert(window);
   }
 }
 
-// True when at least half of the nodes that are live have counted since the window began: what a
-// node counted before it was restarted is known to others up to some tenths of a second, but not
-// when most were lost at once.
-bool UsageReporter::KnowsWhole(WindowNumber window, TimePoint now) const {
+// True when at least half of the live nodes have counted since the window began. The counts of a
+// node from before its restart are known to others up to some tenths of a second, but not when most
+// nodes were lost at once.
+bool UsageReporter::HasEnoughCoverage(WindowNumber window, TimePoint now) const {
   const Duration since_begin = counting_.Clock().At(now) - EndOf(window - 1, terms_);
   size_t before = now - started_ >= since_begin ? 1 : 0;
   size_t live = 1;
@@ -115,8 +116,8 @@
   return 2 * before >= live;
 }
 
-// True when all nodes that are live, and those that told of the window before they were lost, have
-// told all.
+// True when all live nodes, and the lost nodes that have sent counts of the window, have sent all
+// their counts.
 bool UsageReporter::IsComplete(WindowNumber window, TimePoint now) const {
   const std::set<std::string> complete = counting_.Collected().Complete(window);
   if (!complete.contains("")) return false;
@@ -129,19 +130,19 @@
   return true;
 }
 
-void UsageReporter::AddDue(TimePoint now) {
+void UsageReporter::AddDueReports(TimePoint now) {
   const WallTime wall = counting_.Clock().At(now);
   const WindowNumber running = WindowAt(wall, terms_);
   const WindowNumber first = counting_.FirstKept(now);
-  ended_.erase(ended_.begin(), ended_.lower_bound(first));
+  finished_.erase(finished_.begin(), finished_.lower_bound(first));
   for (WindowNumber window = first; window < running; ++window) {
-    if (ended_.contains(window) || reports_.contains(window)) continue;
+    if (finished_.contains(window) || reports_.contains(window)) continue;
     const WallTime end = EndOf(window, terms_);
-    const bool is_urgent = wall >= end + terms_.due - terms_.due / kSendingPart;
+    const bool is_urgent = wall >= end + terms_.due - terms_.due / kSendingFraction;
     if (!is_urgent && !IsComplete(window, now)) continue;
     const bool is_over = wall >= end + terms_.due;
-    if (is_over || !KnowsWhole(window, now)) {
-      ended_.insert(window);
+    if (is_over || !HasEnoughCoverage(window, now)) {
+      finished_.insert(window);
       GlobalCounters().usage_windows_missed_total.Add();
       Log(LogLevel::kWarning, "usage_not_reported",
           {{"window", std::to_string(window)}, {"why", is_over ? "too_late" : "nodes_restarted"}});
@@ -161,13 +162,13 @@
       report.OnRecorded(co_await Record(window, token, report.Counts()));
     } else if (step == WindowReport::Step::kRead) {
       co_await Read(window, &report);
-      if (report.Next() == WindowReport::Step::kRead) co_return;  // the store is away
+      if (report.Next() == WindowReport::Step::kRead) co_return;  // the store did not answer
     } else if (step == WindowReport::Step::kSend) {
       const SendOutcome outcome = co_await Send(window, token, report.Counts());
       report.OnSent(outcome);
-      if (outcome == SendOutcome::kUnknown) co_return;  // again at the next turn
+      if (outcome == SendOutcome::kUnknown) co_return;  // sent again after kPollInterval
     } else {
-      End(window, report, token);
+      Finish(window, report, token);
       co_return;
     }
   }
@@ -217,13 +218,13 @@
   holder_.NoteAct();
   if (status.ok()) co_return SendOutcome::kAccepted;
   if (KindOf(status) != ErrorKind::kConflict) co_return SendOutcome::kUnknown;
-  // A greater token was seen: the record tells that as well, unless it is this node's own later
-  // one.
+  // The platform has seen a greater token. The record shows that too, unless the greater token is
+  // this node's own later one.
   (void)co_await holder_.Confirm();
   co_return SendOutcome::kFenced;
 }
 
-void UsageReporter::End(WindowNumber window, const WindowReport& report, FencingToken token) {
+void UsageReporter::Finish(WindowNumber window, const WindowReport& report, FencingToken token) {
   const bool is_done = report.Next() == WindowReport::Step::kDone;
   int64_t requests = 0;
   for (const auto& [tenant, count] : report.Counts()) requests += count;
@@ -238,7 +239,7 @@
        {"requests", std::to_string(requests)},
        {"after_ms", std::to_string(age.count())}});
   counting_.NoteReported(window);
-  ended_.insert(window);
+  finished_.insert(window);
   reports_.erase(window);
 }
 
--- a/libs/relay/src/duties/usage_reporter.h
+++ b/libs/relay/src/duties/usage_reporter.h
@@ -1,4 +1,5 @@
-// Reports the usage of all nodes to the platform while this node holds that duty. One thread.
+// Reports the usage of all nodes to the platform while this node holds the reporting duty. Not
+// thread-safe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -21,27 +22,27 @@
  public:
   UsageReporter(RelayContext& context, KeyValueStore& store, DutyPlatform& platform);
 
-  // Runs until the process ends.
+  // Starts the reporting, which runs until the process ends.
   void Start();
 
-  // Gives the duty up, for a planned stop.
+  // Releases the duty, for a planned shutdown.
   boost::asio::awaitable<void> Stop() { return holder_.Stop(); }
 
  private:
   std::optional<size_t> Rank() const;
   boost::asio::awaitable<void> Run();
   boost::asio::awaitable<void> TakeOver(FencingToken token);
-  void PassOver(TimePoint now);
-  void AddDue(TimePoint now);
+  void SkipEarlierWindows(TimePoint now);
+  void AddDueReports(TimePoint now);
   bool IsComplete(WindowNumber window, TimePoint now) const;
-  bool KnowsWhole(WindowNumber window, TimePoint now) const;
+  bool HasEnoughCoverage(WindowNumber window, TimePoint now) const;
   boost::asio::awaitable<void> Advance(WindowNumber window, FencingToken token);
   boost::asio::awaitable<RecordOutcome> Record(WindowNumber window, FencingToken token,
                                                const TenantCounts& counts);
   boost::asio::awaitable<void> Read(WindowNumber window, WindowReport* report);
   boost::asio::awaitable<SendOutcome> Send(WindowNumber window, FencingToken token,
                                            const TenantCounts& counts);
-  void End(WindowNumber window, const WindowReport& report, FencingToken token);
+  void Finish(WindowNumber window, const WindowReport& report, FencingToken token);
 
   boost::asio::io_context& io_;
   KeyValueStore& store_;
@@ -53,9 +54,9 @@
   TimePoint started_;
   bool first_start_;  // of the whole system
   DutyHolder holder_;
-  FencingToken token_ = 0;  // under which `reports_` and `ended_` were made
+  FencingToken token_ = 0;  // under which `reports_` and `finished_` were built; 0: none
   std::map<WindowNumber, WindowReport> reports_;
-  std::set<WindowNumber> ended_;
+  std::set<WindowNumber> finished_;
 };
 
 }  // namespace cartsail
