--- a/libs/relay/src/duties/duty_holder.h
+++ b/libs/relay/src/duties/duty_holder.h
@@ -15,8 +15,8 @@
 
 namespace cartsail {
 
-// Number of nodes that compete for a duty. With three, the duty is
-// held even if the store rejects two of them.
+// Number of nodes that compete for a duty. With three, the duty is held even if the store rejects
+// two of them.
 inline constexpr size_t kDutyCandidates = 3;
 
 class DutyHolder {
--- a/libs/relay/src/streams/engine_process_verifier.cc
+++ b/libs/relay/src/streams/engine_process_verifier.cc
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-// After a stall this process reads messages that were written before it, and the ages stated in
-// them have grown since. They confirm nothing.
+// What a process reads right after a stall was written earlier, and the ages stated in it have
+// grown since, so it confirms nothing.
 void EngineProcessVerifier::NoteListConfirmed(TimePoint then) {
   if (stalls_.IsFresh(Now())) list_confirmed_ = std::max(list_confirmed_, then);
 }
--- a/libs/relay/src/streams/stream_service.cc
+++ b/libs/relay/src/streams/stream_service.cc
@@ -169,7 +169,7 @@
     const std::optional<StreamAnswer> answer =
         co_await Ask(std::move(keepers), std::move(question), last - begun);
     if (answer.has_value()) found = *answer;
-    // When no keeper answers, this node looks the stream up as a keeper would.
+    // A keeper, and any node when no keeper answers, looks the stream up itself.
     const bool acts_as_keeper = !found.is_yes && (is_keeper || !answer.has_value());
     if (acts_as_keeper)
       found = co_await FindAsKeeper(service, stream, std::min(deadline, Now() + kLookupTimeout));
--- a/libs/relay/src/streams/stream_service.h
+++ b/libs/relay/src/streams/stream_service.h
@@ -58,8 +58,8 @@
   // Starts the periodic work, which runs until the process ends.
   void Start();
 
-  // True when an engine of `service` states its version: streams are then resumed only at their
-  // own version.
+  // True when an engine of `service` has stated its version lately: streams are then resumed only
+  // at their own version.
   bool IsVersioned(const std::string& service);
 
   // True when streams of `service` may start at `version`. May wait up to 360 ms for other nodes
@@ -178,8 +178,8 @@
   std::map<std::string, std::vector<StreamRecord>> unsaved_;  // by service, of those in `saving_`
   std::set<std::string> saving_;  // services whose records this node saves
   std::set<std::string> saves_in_progress_;
-  std::map<std::string, std::vector<std::string>>
-      synced_keepers_;  // by service: keepers that were sent all records
+  // By service: keepers to which all records of this node were sent.
+  std::map<std::string, std::vector<std::string>> synced_keepers_;
   TimePoint next_save_{};
   TimePoint next_prune_{};
   std::map<uint32_t, PendingQuestion*> pending_questions_;  // by question id
--- a/libs/relay/src/streams/version_permissions.cc
+++ b/libs/relay/src/streams/version_permissions.cc
@@ -86,8 +86,8 @@
       Permit(wanted, answer->ledger_size, asked + answer->holds);
       co_return true;
     }
-    // Only keepers turn to the store then: with the load of all nodes, a store that does not answer
-    // the keepers would not recover.
+    // Once a keeper has refused, only keepers turn to the store: under the load of all nodes, a
+    // store that does not answer the keepers would not recover.
     if (answer.has_value() && !rank.has_value()) co_return false;
   }
   co_return co_await AwaitRegistration(service, version, Now() + kRegistrationTimeout);
