--- a/libs/relay/src/streams/stream_message.h
+++ b/libs/relay/src/streams/stream_message.h
@@ -12,7 +12,7 @@
 namespace cartsail {
 
 enum class StreamQuestionKind : uint8_t {
-  kKeep,      // store `records`
+  kKeep,      // keep a copy of `records`
   kFind,      // at which version was `stream` started?
   kMayBegin,  // may streams start at `version`?
 };
@@ -43,7 +43,7 @@
 
 struct StreamAnswer {
   uint32_t id = 0;      // of the question
-  bool is_yes = false;  // stored, found or permitted
+  bool is_yes = false;  // kept, found or permitted
   StreamRecord record;  // kFind: of the stream; empty when not found
   VersionSource source = VersionSource::kNone;
   uint32_t ledger_size = 0;  // versions in the ledger; 0: unknown
