--- a/libs/relay/src/request/exchange.h
+++ b/libs/relay/src/request/exchange.h
@@ -1,5 +1,5 @@
-// Processes one request from its head to its final answer: admission, attempts at back ends and
-// forwarding of the answer.
+// ProcessVerifier one request from its head to its final answer: admission, attempts at back ends
+// and forwarding of the answer.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -51,7 +51,7 @@
   Exchange(RelayContext& context, std::shared_ptr<CallerConnection> caller,
            std::shared_ptr<RequestMemory> memory, CallerRequest request);
 
-  // Processes the request. Returns true if the caller's connection may serve another request.
+  // ProcessVerifier the request. Returns true if the caller's connection may serve another request.
   boost::asio::awaitable<bool> Run();
 
  private:
@@ -157,7 +157,7 @@
   AdmittedRequest admitted_;
   std::shared_ptr<const RouteTable> residency_table_;  // source of the data residency
   AttemptHistory history_;
-  std::unique_ptr<RepeatTicket> retry_;  // of the current or the next attempt; nullptr: no retry
+  std::unique_ptr<RetryTicket> retry_;  // of the current or the next attempt; nullptr: no retry
   // Until then, bytes of attempts that ended without an answer may reach back ends.
   TimePoint in_transit_until_{};
   std::vector<BackendKey> tried_;
--- a/libs/relay/src/request/exchange_versions.cc
+++ b/libs/relay/src/request/exchange_versions.cc
@@ -48,12 +48,12 @@
 
 asio::awaitable<bool> Exchange::IsVersionConfirmed() {
   if (started_stream_.version.empty()) co_return true;
-  co_return co_await context_.streams.IsSure(admitted_.profile.service, started_stream_);
+  co_return co_await context_.streams.IsVersionVerified(admitted_.profile.service, started_stream_);
 }
 
 asio::awaitable<bool> Exchange::CanResumeAt(const Placement& placement) {
   if (stream_version_.empty()) co_return true;
-  co_return co_await context_.streams.MayGoOnAt(placement.backend, upstream_->Connected());
+  co_return co_await context_.streams.MayContinueAt(placement.backend, upstream_->Connected());
 }
 
 asio::awaitable<bool> Exchange::PinVersion(const Placement& placement) {
@@ -78,7 +78,7 @@
   started_stream_.engine = placement.backend.id;
   started_stream_.started_ms = placement.backend.started_ms;
   started_stream_.is_confirmed =
-      context_.streams.Processes().IsKnown(placement.backend, upstream_->Connected());
+      context_.streams.ProcessVerifier().IsListedProcess(placement.backend, upstream_->Connected());
   started_stream_.begun = Now();
   started_stream_.until = deadline_ + kLastAttemptMargin;
   co_await context_.streams.Note(admitted_.profile.service, started_stream_);
