--- a/libs/relay/src/catalog/backend_changes.h
+++ b/libs/relay/src/catalog/backend_changes.h
@@ -22,7 +22,7 @@
   // Back ends remembered; a peer that is further behind gets all there are. Were fewer remembered
   // than a zone of a large fleet has, the loss of the zone would make all nodes take the list of
   // all 3,000 (48 KB) from each other several times over. Some 130 bytes each.
-  static constexpr size_t kMost = 4096;
+  static constexpr size_t kMaxChanges = 4096;
 
   BackendChanges() = default;
   BackendChanges(const BackendChanges&) = delete;  // `latest_` points into `changes_`
@@ -45,7 +45,7 @@
     }
     const auto added = changes_.insert(changes_.end(), {revision, id});
     latest_.emplace(added->id, added);
-    if (changes_.size() > kMost) ForgetOldest();
+    if (changes_.size() > kMaxChanges) ForgetOldest();
   }
 
   // Back ends that changed after `revision`, each once, the latest last; nothing when that is not
--- a/libs/relay/src/catalog/backend_news.cc
+++ b/libs/relay/src/catalog/backend_news.cc
@@ -6,7 +6,7 @@
 namespace cartsail {
 namespace {
 
-auto LastingFields(const Backend& backend) {
+auto StableFields(const Backend& backend) {
   return std::tie(backend.id, backend.started_ms, backend.service, backend.address, backend.zone,
                   backend.version, backend.slots, backend.state, backend.reclaimable,
                   backend.created_revision, backend.missing_until);
@@ -18,10 +18,10 @@
 
 }  // namespace
 
-bool TellsNothingNew(const Backend& known, const Backend& told, TimePoint now) {
-  if (LastingFields(known) != LastingFields(told)) return false;
+bool IsRedundantUpdate(const Backend& known, const Backend& told, TimePoint now) {
+  if (StableFields(known) != StableFields(told)) return false;
   const Duration later = ColdFor(told, now) - ColdFor(known, now);
-  return later <= kColdEndLag && later >= -kColdEndNews;
+  return later <= kMaxColdEndDelay && later >= -kMinColdEndAdvance;
 }
 
 }  // namespace cartsail
--- a/libs/relay/src/catalog/catalog_answers.cc
+++ b/libs/relay/src/catalog/catalog_answers.cc
@@ -18,46 +18,47 @@
 namespace asio = boost::asio;
 
 // In an update, which has to fit one packet beside its changes: 12 bytes each.
-constexpr size_t kMostQuarantinedTold = 16;
-constexpr size_t kMostQuarantinedHanded = 1000;  // in a catalog
-constexpr Duration kEncodedHolds = seconds(1);   // it names the document's age
+constexpr size_t kMaxQuarantinedInUpdate = 16;
+constexpr size_t kMaxQuarantinedInCatalog = 1000;  // in a catalog
+constexpr Duration kFullCatalogTtl = seconds(1);   // it names the document's age
 // From one reader to the next: an update reaches the other readers within some milliseconds.
-constexpr Duration kTurnToTell = milliseconds(25);
+constexpr Duration kSendTurnInterval = milliseconds(25);
 
 }  // namespace
 
 // Tells the others which back ends changed after revision `since`, and that nothing else did.
-void CatalogSync::TellUpdate(int64_t since, TimePoint confirmed) {
+void CatalogSync::SendUpdate(int64_t since, TimePoint confirmed) {
   if (!on_update_ || context_.routing.Table() == nullptr) return;
   StoreUpdate update;
   update.document_version = context_.routing.Version();
   update.confirmed_age = Now() - confirmed;
   update.list_age = Now() - context_.streams.Processes().ListConfirmed();
   update.changes.drained_zones = context_.dispatcher.Registry().Drains().Zones();
-  update.changes.quarantined = context_.quarantine.List().Newest(kMostQuarantinedTold, Now());
-  for (const ChangeParcel& parcel : ParcelsSince(since)) {
-    update.changes.since = parcel.since;
-    update.changes.revision = parcel.revision;
+  update.changes.quarantined = context_.quarantine.List().Newest(kMaxQuarantinedInUpdate, Now());
+  for (const ChangeBatch& batch : BatchesSince(since)) {
+    update.changes.since = batch.since;
+    update.changes.revision = batch.revision;
     update.changes.backends.clear();
     update.changes.gone.clear();
-    for (const std::string& id : parcel.ids) AddChange(id, &update.changes);
+    for (const std::string& id : batch.ids) AddChange(id, &update.changes);
     on_update_(update);
   }
-  told_revision_ = revision_;
-  told_at_ = Now();
+  sent_revision_ = revision_;
+  sent_at_ = Now();
 }
 
 // The revision alone when the changes since are forgotten.
-std::vector<ChangeParcel> CatalogSync::ParcelsSince(int64_t since) const {
-  const std::optional<std::vector<BackendChanges::Change>> changed = changes_.Since(since);
-  if (!changed.has_value()) return MakeParcels({}, revision_, revision_);
-  return MakeParcels(*changed, since, revision_);
+std::vector<ChangeBatch> CatalogSync::BatchesSince(int64_t since) const {
+  const std::optional<std::vector<BackendChanges::Change>> changed = backend_changes_.Since(since);
+  if (!changed.has_value()) return MakeChangeBatches({}, revision_, revision_);
+  return MakeChangeBatches(*changed, since, revision_);
 }
 
 const DocumentPatch& CatalogSync::PatchFor(int64_t have) {
   if (have != 0 && patch_.base_version == have) return patch_;
-  if (whole_.bytes.empty()) whole_.bytes = MakeDocumentPatch({}, context_.routing.Encoded());
-  return whole_;
+  if (full_document_.bytes.empty())
+    full_document_.bytes = MakeDocumentPatch({}, context_.routing.Encoded());
+  return full_document_;
 }
 
 std::string CatalogSync::AnswerPeer(const HttpRequest& request) {
@@ -65,24 +66,25 @@
   (void)ParseInteger(request.QueryParameter(kHaveParameter), &have);
   int64_t since = 0;
   (void)ParseInteger(request.QueryParameter(kSinceParameter), &since);
-  return have == 0 && since == 0 ? EncodedWhole() : EncodeCatalog(MakeCatalog(have, since), Now());
+  return have == 0 && since == 0 ? EncodedFullCatalog()
+                                 : EncodeCatalog(MakeCatalog(have, since), Now());
 }
 
 // Nodes that start together all ask for it.
-std::string CatalogSync::EncodedWhole() {
+std::string CatalogSync::EncodedFullCatalog() {
   const TimePoint now = Now();
   const int64_t quarantine_changes = context_.quarantine.List().Changes();
   const bool holds =
-      now - encoded_whole_at_ < kEncodedHolds && encoded_whole_quarantine_ == quarantine_changes;
-  if (!encoded_whole_.empty() && holds) return encoded_whole_;
-  encoded_whole_quarantine_ = quarantine_changes;
+      now - encoded_full_at_ < kFullCatalogTtl && encoded_full_quarantine_ == quarantine_changes;
+  if (!encoded_full_.empty() && holds) return encoded_full_;
+  encoded_full_quarantine_ = quarantine_changes;
   const CatalogMessage catalog = MakeCatalog(0, 0);
   const auto is_missing = [](const Backend& backend) { return backend.missing_until.has_value(); };
   const bool changes_soon =
       std::any_of(catalog.backends.begin(), catalog.backends.end(), is_missing);
   std::string encoded = EncodeCatalog(catalog, now);
-  encoded_whole_at_ = now;
-  if (!changes_soon) encoded_whole_ = encoded;
+  encoded_full_at_ = now;
+  if (!changes_soon) encoded_full_ = encoded;
   return encoded;
 }
 
@@ -98,7 +100,7 @@
 
 // Back ends that changed after revision `since`; all of them when that is too long ago.
 void CatalogSync::FillBackends(int64_t since, CatalogMessage* catalog) const {
-  const std::optional<std::vector<BackendChanges::Change>> changed = changes_.Since(since);
+  const std::optional<std::vector<BackendChanges::Change>> changed = backend_changes_.Since(since);
   if (!changed.has_value()) {
     catalog->backends = context_.dispatcher.Registry().All();
     return;
@@ -114,7 +116,7 @@
   if (context_.routing.Version() > have) catalog.document = PatchFor(have);
   catalog.document_age = Now() - context_.routing.KnownSince();
   catalog.drained_zones = context_.dispatcher.Registry().Drains().Zones();
-  catalog.quarantined = context_.quarantine.List().Newest(kMostQuarantinedHanded, Now());
+  catalog.quarantined = context_.quarantine.List().Newest(kMaxQuarantinedInCatalog, Now());
   FillBackends(since, &catalog);
   return catalog;
 }
@@ -122,19 +124,20 @@
 // All readers hear a change at the same moment. The first one tells it at once, the others what was
 // not told by then: changes so travel once, and still do when the first one does not hear the
 // store.
-void CatalogSync::TellInTurn(TimePoint confirmed) {
+void CatalogSync::SendUpdateInTurn(TimePoint confirmed) {
   const size_t rank = std::min(peers_.ReadingRank(confirmed), kStoreReaders);
-  if (rank == 0) return TellUpdate(told_revision_, confirmed);
-  if (telling_soon_) return;
-  telling_soon_ = true;
-  asio::co_spawn(context_.io, TellAfter(static_cast<int64_t>(rank) * kTurnToTell, confirmed),
+  if (rank == 0) return SendUpdate(sent_revision_, confirmed);
+  if (send_pending_) return;
+  send_pending_ = true;
+  asio::co_spawn(context_.io,
+                 SendUpdateAfter(static_cast<int64_t>(rank) * kSendTurnInterval, confirmed),
                  asio::detached);
 }
 
-asio::awaitable<void> CatalogSync::TellAfter(Duration wait, TimePoint confirmed) {
+asio::awaitable<void> CatalogSync::SendUpdateAfter(Duration wait, TimePoint confirmed) {
   co_await Pause(wait);
-  telling_soon_ = false;
-  TellUpdate(told_revision_, confirmed);
+  send_pending_ = false;
+  SendUpdate(sent_revision_, confirmed);
 }
 
 }  // namespace cartsail
--- a/libs/relay/src/catalog/catalog_reading.cc
+++ b/libs/relay/src/catalog/catalog_reading.cc
@@ -21,29 +21,29 @@
 
 namespace asio = boost::asio;
 
-constexpr Duration kFirstPause = milliseconds(100);
-constexpr Duration kLongestPause = milliseconds(800);
+constexpr Duration kMinRetryDelay = milliseconds(100);
+constexpr Duration kMaxRetryDelay = milliseconds(800);
 constexpr int64_t kItemsPerPage = 500;
 constexpr Duration kPauseAfterEvents = milliseconds(150);
 constexpr Duration kReaderCheck = milliseconds(250);
-constexpr Duration kHearingCheck = milliseconds(10);
+constexpr Duration kPeerWaitPoll = milliseconds(10);
 
 double RandomShare() {
   thread_local std::minstd_rand generator(std::random_device{}());
   return std::uniform_real_distribution<double>(0, 1)(generator);
 }
 
-Duration JitteredPause(int failures) {
-  Duration pause = kFirstPause;
-  for (int i = 1; i < failures && pause < kLongestPause; ++i) pause *= 2;
-  pause = std::min(pause, kLongestPause);
+Duration JitteredRetryDelay(int failures) {
+  Duration pause = kMinRetryDelay;
+  for (int i = 1; i < failures && pause < kMaxRetryDelay; ++i) pause *= 2;
+  pause = std::min(pause, kMaxRetryDelay);
   return FromSeconds(ToSeconds(pause) * (0.7 + 0.6 * RandomShare()));
 }
 
 }  // namespace
 
 void CatalogSync::Start() {
-  listing_share_ = RandomShare();
+  listing_offset_ = RandomShare();
   asio::co_spawn(context_.io, Follow(), asio::detached);
 }
 
@@ -57,14 +57,14 @@
   return now - std::max(started_, context_.routing.Confirmed());
 }
 
-bool CatalogSync::IsAlone(TimePoint now) const {
-  return peers_.LiveCount() == 0 || now - peers_heard_ > kAloneAfter;
+bool CatalogSync::IsIsolated(TimePoint now) const {
+  return peers_.LiveCount() == 0 || now - peers_heard_ > kIsolatedAfter;
 }
 
 bool CatalogSync::IsReading(TimePoint now) const {
   if (IsLeftBehind(now) || now < reading_until_) return true;
   if (peers_.Peers().empty()) return true;  // no other node is known of
-  if (IsAlone(now)) {
+  if (IsIsolated(now)) {
     return Unconfirmed(now) > context_.document_limits.direct_read_when_unconfirmed;
   }
   return HasReadingTurn(peers_.ReadingRank(now), peers_.LiveCount() + 1, Unconfirmed(now),
@@ -80,24 +80,24 @@
   if (version > context_.routing.Version() && !behind_since_.has_value()) behind_since_ = now;
 }
 
-Duration CatalogSync::HearingTime() const {
-  if (context_.options.first_start) return kHearingAtFirstStart;
+Duration CatalogSync::PeerWaitTime() const {
+  if (context_.options.first_start) return kFirstStartWait;
   if (peers_.Peers().empty()) return Duration(0);
-  return kHearing + FromSeconds(ToSeconds(kHearingSpread) * RandomShare());
+  return kPeerWait + FromSeconds(ToSeconds(kPeerWaitJitter) * RandomShare());
 }
 
 bool CatalogSync::MayListFirst(TimePoint now) {
   const size_t live = peers_.LiveCount();
-  if (live > most_live_) members_grew_ = now;
-  most_live_ = std::max(most_live_, live);
+  if (live > max_live_peers_) last_member_found_ = now;
+  max_live_peers_ = std::max(max_live_peers_, live);
   const std::vector<std::string>& seeds = context_.options.seeds;
   StartingNode self;
   self.is_seed = std::find(seeds.begin(), seeds.end(), context_.options.peer.host) != seeds.end();
   self.live_peers = live;
   self.rank = peers_.ReadingRank(now);
-  self.since_growth = now - members_grew_;
+  self.since_growth = now - last_member_found_;
   self.since_start = now - started_;
-  self.share = listing_share_;
+  self.share = listing_offset_;
   return MayListAtStart(self);
 }
 
@@ -106,19 +106,19 @@
 // refused on it for good; changes since then come from peers, or by a watch. A list of the store as
 // it is would cost ten times as much.
 asio::awaitable<void> CatalogSync::GetFirstCatalog() {
-  const TimePoint last = Now() + HearingTime();
-  while (Now() < last && !context_.HasCatalog()) co_await Pause(kHearingCheck);
+  const TimePoint last = Now() + PeerWaitTime();
+  while (Now() < last && !context_.HasCatalog()) co_await Pause(kPeerWaitPoll);
   if (context_.options.first_start || peers_.Peers().empty()) co_return;
   int failures = 0;
   while (!context_.HasCatalog()) {
     if (!MayListFirst(Now())) {
-      co_await Pause(kHearingCheck);
+      co_await Pause(kPeerWaitPoll);
       continue;
     }
     const absl::Status read = co_await ReadAll(ReadMode::kMayBeStale);
     NoteReachable(read.ok(), std::string(read.message()));
     // Also where the store had nothing to tell yet.
-    if (!context_.HasCatalog()) co_await Pause(JitteredPause(++failures));
+    if (!context_.HasCatalog()) co_await Pause(JitteredRetryDelay(++failures));
   }
 }
 
@@ -129,7 +129,7 @@
   if (rank < kStoreReaders) return;
   const bool has_turn =
       HasReadingTurn(rank, peers_.LiveCount() + 1, Unconfirmed(now), context_.document_limits);
-  if (has_turn) reading_until_ = now + kReadingHolds;
+  if (has_turn) reading_until_ = now + kReaderHoldTime;
 }
 
 asio::awaitable<void> CatalogSync::Follow() {
@@ -153,7 +153,7 @@
       const absl::Status read = co_await ReadAll(ReadMode::kNewest);
       NoteReachable(read.ok(), std::string(read.message()));
       if (!read.ok()) {
-        co_await Pause(JitteredPause(++failures));
+        co_await Pause(JitteredRetryDelay(++failures));
         continue;
       }
       failures = 0;
@@ -172,7 +172,7 @@
       continue;
     }
     NoteReachable(false, std::string(ended.message()));
-    co_await Pause(JitteredPause(++failures));
+    co_await Pause(JitteredRetryDelay(++failures));
   }
 }
 
--- a/libs/relay/src/catalog/catalog_sync.cc
+++ b/libs/relay/src/catalog/catalog_sync.cc
@@ -15,7 +15,7 @@
 namespace cartsail {
 namespace {
 
-constexpr size_t kIdsNamed = 5;  // in one log line
+constexpr size_t kIdsPerLogLine = 5;  // in one log line
 
 std::string FormatMillis(Duration duration) { return fmt::format("{:.0f}", ToMillis(duration)); }
 
@@ -165,8 +165,8 @@
   // the watch goes on from the newer revision.
   if (revision >= revision_) {
     revision_ = revision;
-    told_revision_ = std::max(told_revision_, revision_);
-    changes_.Reset(revision);
+    sent_revision_ = std::max(sent_revision_, revision_);
+    backend_changes_.Reset(revision);
     ReplaceBackends(BackendsIn(items), "store", grace_.MissingUntil(now));
     RemoveOverwritten(items);
     ReplaceDrainedZones(DrainedZonesIn(items), "store");
@@ -175,7 +175,7 @@
   // What the list says held when it was asked for; the answer may have been long on its way.
   context_.routing.ConfirmFromPeer(*asked);
   if (revision_ >= revision) context_.streams.Processes().NoteListConfirmed(*asked);
-  TellUpdate(revision_, *asked);
+  SendUpdate(revision_, *asked);
 }
 
 bool CatalogSync::ApplyUpdate(const StoreUpdate& update, std::string_view source) {
@@ -186,7 +186,7 @@
   if (update.document_version == context_.routing.Version()) {
     ConfirmByPeer(now - update.confirmed_age, now);
   }
-  told_revision_ = std::max(told_revision_, changes.revision);
+  sent_revision_ = std::max(sent_revision_, changes.revision);
   const bool has_document = update.document_version <= context_.routing.Version();
   const TimePoint list_held = now - update.list_age.value_or(now - TimePoint());
   if (changes.revision <= revision_) {
@@ -195,7 +195,7 @@
   }
   if (revision_ == 0) return false;
   if (changes.since.value_or(0) > revision_) {
-    early_.Keep(update);
+    early_updates_.Keep(update);
     return false;
   }
   ApplyNext(update, source);
@@ -208,21 +208,21 @@
   const CatalogMessage& changes = update.changes;
   revision_ = changes.revision;
   must_list_ = false;
-  encoded_whole_.clear();
+  encoded_full_.clear();
   context_.quarantine.Merge(changes.quarantined, Now());
   if (!changes.backends.empty() || !changes.gone.empty()) ApplyChanges(changes, source);
   ReplaceDrainedZones({changes.drained_zones.begin(), changes.drained_zones.end()}, source);
 }
 
 void CatalogSync::ApplyEarly(std::string_view source) {
-  while (const std::optional<StoreUpdate> next = early_.TakeNext(revision_)) {
+  while (const std::optional<StoreUpdate> next = early_updates_.TakeNext(revision_)) {
     ApplyNext(*next, source);
   }
 }
 
 void CatalogSync::ReplaceBackends(std::vector<Backend> backends, std::string_view source,
                                   std::optional<TimePoint> missing_until) {
-  encoded_whole_.clear();
+  encoded_full_.clear();
   Log(LogLevel::kInfo, "backends_replaced",
       {{"count", std::to_string(backends.size())},
        {"revision", std::to_string(revision_)},
@@ -245,14 +245,14 @@
   }
   if (catalog.revision <= revision_) return;
   revision_ = catalog.revision;
-  told_revision_ = std::max(told_revision_, revision_);
+  sent_revision_ = std::max(sent_revision_, revision_);
   // From here on the store's changes since this revision are enough.
   must_list_ = false;
   ReplaceDrainedZones({catalog.drained_zones.begin(), catalog.drained_zones.end()}, source);
   if (catalog.since.has_value()) {
     ApplyChanges(catalog, source);
   } else {
-    changes_.Reset(revision_);
+    backend_changes_.Reset(revision_);
     ReplaceBackends(catalog.backends, source, grace_.MissingUntil(Now()));
   }
   ApplyEarly(source);
@@ -260,21 +260,21 @@
 
 // Of a peer that was asked for the changes since a revision that this node knew.
 void CatalogSync::ApplyChanges(const CatalogMessage& catalog, std::string_view source) {
-  encoded_whole_.clear();
+  encoded_full_.clear();
   Log(LogLevel::kInfo, "backends_changed",
       {{"changed", std::to_string(catalog.backends.size())},
        {"gone", std::to_string(catalog.gone.size())},
        {"since", std::to_string(*catalog.since)},
        {"revision", std::to_string(revision_)},
-       {"some_gone", fmt::format("{}", fmt::join(FirstOf(catalog.gone, kIdsNamed), ","))},
+       {"some_gone", fmt::format("{}", fmt::join(FirstOf(catalog.gone, kIdsPerLogLine), ","))},
        {"source", std::string(source)}});
   for (const Backend& backend : catalog.backends) {
-    changes_.Note(backend.id, revision_);
+    backend_changes_.Note(backend.id, revision_);
     context_.dispatcher.Registry().Put(backend);
   }
   const TimePoint now = Now();
   for (const std::string& id : catalog.gone) {
-    changes_.Note(id, revision_);
+    backend_changes_.Note(id, revision_);
     RemoveBackend(id, LogLevel::kDebug, now);
   }
 }
@@ -290,7 +290,7 @@
 
 // Nodes write streams some times a second and nobody is told of them: a revision that only brought
 // them would make all nodes fetch what they have.
-bool CatalogSync::IsOfStream(const WatchEvent& event) const {
+bool CatalogSync::IsStreamRecord(const WatchEvent& event) const {
   const std::string& prefix = keys_.stream_prefix;
   return !prefix.empty() && event.kv.key.starts_with(prefix);
 }
@@ -303,12 +303,12 @@
   for (const WatchEvent& event : events) {
     watched_revision_ = std::max(watched_revision_, event.kv.mod_revision);
   }
-  const auto is_of_stream = [this](const WatchEvent& event) { return IsOfStream(event); };
+  const auto is_of_stream = [this](const WatchEvent& event) { return IsStreamRecord(event); };
   if (!events.empty() && std::all_of(events.begin(), events.end(), is_of_stream)) {
     context_.routing.Confirm(now);
     context_.streams.Processes().NoteListConfirmed(watch_asked_);
     // The others are told as often as by watches that end without an event.
-    if (now - told_at_ >= context_.document_limits.min_watch) TellInTurn(now);
+    if (now - sent_at_ >= context_.document_limits.min_watch) SendUpdateInTurn(now);
     return;
   }
   for (const WatchEvent& event : events) {
@@ -319,15 +319,15 @@
     if (IsDrainedZone(key)) ApplyDrainedZone(event, now);
     ApplyQuarantine(event, now);
     if (IsBackend(key) && !event.deleted && IsKnownAlready(event.kv, now)) continue;
-    if (IsBackend(key)) changes_.Note(BackendId(key), event.kv.mod_revision);
+    if (IsBackend(key)) backend_changes_.Note(BackendId(key), event.kv.mod_revision);
     if (IsBackend(key) && !event.deleted) ApplyBackend(event.kv);
     if (IsBackend(key) && event.deleted) RemoveBackend(BackendId(key), LogLevel::kInfo, now);
   }
   for (const WatchEvent& event : events) revision_ = std::max(revision_, event.kv.mod_revision);
   context_.routing.Confirm(now);
   context_.streams.Processes().NoteListConfirmed(watch_asked_);
-  encoded_whole_.clear();
-  TellInTurn(now);
+  encoded_full_.clear();
+  SendUpdateInTurn(now);
 }
 
 // Whatever is no news is neither noted as a change nor told to anybody.
@@ -338,7 +338,7 @@
   absl::StatusOr<Backend> told = codec_.DecodeBackend(id, item.value, now);
   if (!told.ok()) return false;
   told->created_revision = item.create_revision;
-  return TellsNothingNew(*known, *told, now);
+  return IsRedundantUpdate(*known, *told, now);
 }
 
 void CatalogSync::ApplyBackend(const KeyValue& item) {
@@ -387,8 +387,8 @@
   // How long the node may have missed it: since the store was last known to have none newer.
   const Duration unconfirmed = now - context_.routing.Confirmed();
   patch_ = {before, MakeDocumentPatch(context_.routing.Encoded(), text)};
-  whole_ = {};
-  encoded_whole_.clear();
+  full_document_ = {};
+  encoded_full_.clear();
   behind_since_.reset();
   context_.dispatcher.Registry().SetServices(ServicesOf((*table)->Document()));
   context_.routing.Apply(std::move(*table), text, now - age);
--- a/libs/relay/src/catalog/catalog_sync.h
+++ b/libs/relay/src/catalog/catalog_sync.h
@@ -17,7 +17,7 @@
 #include "cartsail/store/key_value_store.h"
 #include "catalog/backend_changes.h"
 #include "catalog/catalog_message.h"
-#include "catalog/change_parcels.h"
+#include "catalog/change_batches.h"
 #include "catalog/early_updates.h"
 #include "catalog/invalid_entry_log.h"
 #include "catalog/lapse_grace.h"
@@ -83,16 +83,16 @@
 
   boost::asio::awaitable<void> Follow();
   boost::asio::awaitable<void> GetFirstCatalog();
-  Duration HearingTime() const;
+  Duration PeerWaitTime() const;
   // This node, which knows nothing yet, is to list the store.
   bool MayListFirst(TimePoint now);
-  bool IsAlone(TimePoint now) const;
+  bool IsIsolated(TimePoint now) const;
   Duration Unconfirmed(TimePoint now) const;
   void NoteAnswered(TimePoint now);
-  void TellUpdate(int64_t since, TimePoint confirmed);
-  void TellInTurn(TimePoint confirmed);
-  boost::asio::awaitable<void> TellAfter(Duration wait, TimePoint confirmed);
-  std::vector<ChangeParcel> ParcelsSince(int64_t since) const;
+  void SendUpdate(int64_t since, TimePoint confirmed);
+  void SendUpdateInTurn(TimePoint confirmed);
+  boost::asio::awaitable<void> SendUpdateAfter(Duration wait, TimePoint confirmed);
+  std::vector<ChangeBatch> BatchesSince(int64_t since) const;
   void ApplyNext(const StoreUpdate& update, std::string_view source);
   void ApplyEarly(std::string_view source);
   boost::asio::awaitable<absl::Status> ReadAll(ReadMode mode);
@@ -108,7 +108,7 @@
   void NoteInvalidBackend(const std::string& id, const absl::Status& why);
   void RemoveOverwritten(const std::vector<KeyValue>& items);
   absl::StatusOr<Backend> DecodeEntry(const KeyValue& item, TimePoint now) const;
-  bool IsOfStream(const WatchEvent& event) const;
+  bool IsStreamRecord(const WatchEvent& event) const;
   void ApplyEvents(const std::vector<WatchEvent>& events);
   bool IsBackend(const std::string& key) const;
   std::string BackendId(const std::string& key) const;
@@ -128,7 +128,7 @@
   void FillBackends(int64_t since, CatalogMessage* catalog) const;
   void ApplyChanges(const CatalogMessage& catalog, std::string_view source);
   const DocumentPatch& PatchFor(int64_t have);
-  std::string EncodedWhole();
+  std::string EncodedFullCatalog();
   void NoteInvalid(const absl::Status& status, std::string_view source);
   void NoteReachable(bool reachable, std::string_view why);
 
@@ -138,28 +138,28 @@
   const CatalogCodec& codec_;
   CatalogKeys keys_;
   LapseGrace grace_;
-  BackendChanges changes_;
-  EarlyUpdates early_;
+  BackendChanges backend_changes_;
+  EarlyUpdates early_updates_;
   InvalidEntryLog invalid_entries_;
   std::function<void()> on_document_;
   std::function<void(StoreUpdate)> on_update_;
   TimePoint started_ = Now();
   TimePoint peers_heard_ = started_;
-  size_t most_live_ = 0;               // peers, at once, before the first catalog
-  TimePoint members_grew_ = started_;  // when a further one was heard of
-  double listing_share_ = 0;           // StartingNode::share
-  TimePoint reading_until_{};          // though others come first
+  size_t max_live_peers_ = 0;               // peers, at once, before the first catalog
+  TimePoint last_member_found_ = started_;  // when a further one was heard of
+  double listing_offset_ = 0;               // StartingNode::share
+  TimePoint reading_until_{};               // though others come first
   int64_t revision_ = 0;
   TimePoint watch_asked_{};       // when the call was made whose events come
   int64_t watched_revision_ = 0;  // up to which the store has told events, of whatever keys
-  TimePoint told_at_{};           // when this node last told the others
-  int64_t told_revision_ = 0;     // up to which all nodes were told of changes, by whatever reader
-  bool telling_soon_ = false;
-  DocumentPatch patch_;        // of the document in force, made of the one before
-  DocumentPatch whole_;        // of the document in force; empty until somebody needs it
-  std::string encoded_whole_;  // catalog for nodes that know nothing; empty until one asks
-  TimePoint encoded_whole_at_{};
-  int64_t encoded_whole_quarantine_ = 0;  // changes of the quarantine list by then
+  TimePoint sent_at_{};           // when this node last told the others
+  int64_t sent_revision_ = 0;     // up to which all nodes were told of changes, by whatever reader
+  bool send_pending_ = false;
+  DocumentPatch patch_;          // of the document in force, made of the one before
+  DocumentPatch full_document_;  // of the document in force; empty until somebody needs it
+  std::string encoded_full_;     // catalog for nodes that know nothing; empty until one asks
+  TimePoint encoded_full_at_{};
+  int64_t encoded_full_quarantine_ = 0;  // changes of the quarantine list by then
   // While a peer has a newer document than this node: since when.
   std::optional<TimePoint> behind_since_;
   bool must_list_ = true;  // the changes since `revision_` are not to be had from the store
--- a/libs/relay/src/catalog/document_announcer.cc
+++ b/libs/relay/src/catalog/document_announcer.cc
@@ -7,17 +7,18 @@
 namespace {
 
 struct Candidate {
-  int times_told;
+  int notices_sent;
   uint64_t order;
   std::string host;
 
   bool operator<(const Candidate& other) const {
-    return std::tie(times_told, order) < std::tie(other.times_told, other.order);
+    return std::tie(notices_sent, order) < std::tie(other.notices_sent, other.order);
   }
 };
 
 // Moves the first ones to `hosts`, until it has `size`.
-void TakeFirst(std::vector<Candidate>* candidates, size_t size, std::vector<std::string>* hosts) {
+void TakeFirstHosts(std::vector<Candidate>* candidates, size_t size,
+                    std::vector<std::string>* hosts) {
   std::sort(candidates->begin(), candidates->end());
   size_t taken = 0;
   while (taken < candidates->size() && hosts->size() < size) {
@@ -34,7 +35,7 @@
   if (version != version_) {
     version_ = version;
     rounds_ = 0;
-    told_.clear();
+    notices_sent_.clear();
   }
   if (rounds_ == kRounds) return {};
   ++rounds_;
@@ -43,13 +44,13 @@
   std::vector<Candidate> far;
   for (const LivePeer& peer : behind) {
     std::vector<Candidate>& candidates = peer.zone == zone ? near : far;
-    candidates.push_back({told_[peer.host], Hash64(peer.host, order_seed), peer.host});
+    candidates.push_back({notices_sent_[peer.host], Hash64(peer.host, order_seed), peer.host});
   }
   std::vector<std::string> hosts;
-  TakeFirst(&far, 1, &hosts);
-  TakeFirst(&near, kPeersTold, &hosts);
-  TakeFirst(&far, kPeersTold, &hosts);
-  for (const std::string& host : hosts) ++told_[host];
+  TakeFirstHosts(&far, 1, &hosts);
+  TakeFirstHosts(&near, kPeersPerRound, &hosts);
+  TakeFirstHosts(&far, kPeersPerRound, &hosts);
+  for (const std::string& host : hosts) ++notices_sent_[host];
   return hosts;
 }
 
--- a/libs/relay/src/catalog/document_announcer.h
+++ b/libs/relay/src/catalog/document_announcer.h
@@ -1,7 +1,7 @@
 // Whom a node tells of a new version of the routing document, and how often. Every node that gets
 // a new version tells a few others at once, so that a version reaches n nodes in about
-// log(n) / log(kPeersTold) trips and no node hands it to more than kPeersTold others at a time.
-// Pure.
+// log(n) / log(kPeersPerRound) trips and no node hands it to more than kPeersPerRound others at a
+// time. Pure.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 class DocumentAnnouncer {
  public:
   // Peers that are told in one round.
-  static constexpr size_t kPeersTold = 4;
+  static constexpr size_t kPeersPerRound = 4;
   // Rounds of one version. With 15 of 100 datagrams lost, 480 nodes and 8 readers, every node is
   // told within 0.2 s in each of 20 seeds (document_announcer_test).
   static constexpr int kRounds = 8;
@@ -40,7 +40,7 @@
   uint64_t seed_;
   int64_t version_ = 0;
   int rounds_ = 0;
-  std::map<std::string, int> told_;  // times, by host
+  std::map<std::string, int> notices_sent_;  // times, by host
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/catalog/early_updates.h
+++ b/libs/relay/src/catalog/early_updates.h
@@ -14,10 +14,10 @@
 class EarlyUpdates {
  public:
   // Those of two batches of changes; the node that lacks more fetches them.
-  static constexpr size_t kMost = 48;
+  static constexpr size_t kMaxUpdates = 48;
 
   void Keep(const StoreUpdate& update) {
-    if (updates_.size() >= kMost) return;
+    if (updates_.size() >= kMaxUpdates) return;
     updates_.insert_or_assign(update.changes.since.value_or(0), update);
   }
 
--- a/libs/relay/src/catalog/fetch_schedule.h
+++ b/libs/relay/src/catalog/fetch_schedule.h
@@ -14,10 +14,10 @@
   // A fetch that takes longer does not keep a node from asking another one. Half a KB over a link
   // of 10 Mbit/s takes some milliseconds; a lost first packet of a connection is sent again after 1
   // s.
-  static constexpr Duration kPatience = milliseconds(200);
+  static constexpr Duration kOverlapDelay = milliseconds(200);
   // Between the end of a fetch and the next one, so that changes that follow closely come together.
   static constexpr Duration kPause = milliseconds(250);
-  static constexpr size_t kMostAtOnce = 3;
+  static constexpr size_t kMaxConcurrent = 3;
 
   struct Fetch {
     std::string host;
@@ -29,7 +29,8 @@
   // `is_urgent`: a newer document is to be had there; no pause is made then.
   bool MayBegin(const std::string& host, bool is_urgent, TimePoint now) const {
     if (running_.empty()) return is_urgent || now - ended_ >= kPause;
-    if (running_.size() >= kMostAtOnce || now - running_.back().begun < kPatience) return false;
+    if (running_.size() >= kMaxConcurrent || now - running_.back().begun < kOverlapDelay)
+      return false;
     return std::none_of(running_.begin(), running_.end(),
                         [&host](const Fetch& fetch) { return fetch.host == host; });
   }
--- a/libs/relay/src/catalog/invalid_entry_log.h
+++ b/libs/relay/src/catalog/invalid_entry_log.h
@@ -12,7 +12,7 @@
 class InvalidEntryLog {
  public:
   static constexpr Duration kInterval = seconds(60);  // between two lines on one entry
-  static constexpr size_t kMostRemembered = 1000;     // entries, some 100 KB
+  static constexpr size_t kMaxEntries = 1000;         // entries, some 100 KB
 
   // True when a line is to be written. More entries than are remembered get none.
   bool MayLog(const std::string& id, TimePoint now) {
@@ -22,8 +22,8 @@
       found->second = now;
       return true;
     }
-    if (logged_.size() >= kMostRemembered) Forget(now);
-    if (logged_.size() >= kMostRemembered) return false;
+    if (logged_.size() >= kMaxEntries) Forget(now);
+    if (logged_.size() >= kMaxEntries) return false;
     logged_[id] = now;
     return true;
   }
--- a/libs/relay/src/catalog/lapse_grace.h
+++ b/libs/relay/src/catalog/lapse_grace.h
@@ -13,7 +13,7 @@
   // Learnt at `now`: the store answered, this node or a peer, at `answered`; before that it was
   // last heard at `heard`.
   void NoteAnswer(TimePoint heard, TimePoint answered, TimePoint now) {
-    const bool was_away = heard != TimePoint() && answered - heard >= kLeastAbsence;
+    const bool was_away = heard != TimePoint() && answered - heard >= kMinOutage;
     if (was_away) until_ = now + kGrace;
   }
 
@@ -23,7 +23,7 @@
     return until_;
   }
 
-  static constexpr Duration kLeastAbsence = milliseconds(2800);
+  static constexpr Duration kMinOutage = milliseconds(2800);
   static constexpr Duration kGrace = milliseconds(1800);
 
  private:
--- a/libs/relay/src/catalog/reading_duty.h
+++ b/libs/relay/src/catalog/reading_duty.h
@@ -16,18 +16,18 @@
 // While the store answers nobody, more and more nodes try: those that read may be the only ones
 // that it turns away. So many of the first ones at most, and beside them some fewer of the others
 // in turns, so that an outage costs some calls a second, whatever the size of the fleet.
-inline constexpr size_t kMostStoreReaders = 24;
+inline constexpr size_t kMaxStoreReaders = 24;
 
 // How many nodes read. `unconfirmed`: how long ago the store was last heard, by this node or by its
 // peers. The number doubles with each third of the deadline for new documents beyond the first two.
 inline size_t ReadersNeeded(Duration unconfirmed, const DocumentLimits& limits) {
   size_t readers = kStoreReaders;
   Duration limit = limits.direct_read_when_unconfirmed;
-  while (unconfirmed > limit && readers < kMostStoreReaders) {
+  while (unconfirmed > limit && readers < kMaxStoreReaders) {
     readers *= 2;
     limit += limits.direct_read_when_unconfirmed / 2;
   }
-  return std::min(readers, kMostStoreReaders);
+  return std::min(readers, kMaxStoreReaders);
 }
 
 // True when the node at place `rank` of `nodes` reads the store. Beside the first ones, who always
@@ -35,37 +35,37 @@
 inline bool HasReadingTurn(size_t rank, size_t nodes, Duration unconfirmed,
                            const DocumentLimits& limits) {
   if (rank < ReadersNeeded(unconfirmed, limits)) return true;
-  if (nodes <= kMostStoreReaders) return false;
+  if (nodes <= kMaxStoreReaders) return false;
   const Duration turn = limits.direct_read_when_unconfirmed / 2;
   const Duration at_limit = 2 * limits.direct_read_when_unconfirmed;
   if (unconfirmed <= at_limit + turn) return false;
   const auto turns = static_cast<size_t>((unconfirmed - at_limit) / turn);
   const size_t others = nodes - kStoreReaders;
-  const size_t in_turn = kMostStoreReaders - kStoreReaders;
+  const size_t in_turn = kMaxStoreReaders - kStoreReaders;
   const size_t first = turns * in_turn % others;
   return (rank - kStoreReaders + others - first) % others < in_turn;
 }
 
 // A node that was not among the first but had to read and was answered goes on for this long, since
 // those before it may be cut off for some time.
-inline constexpr Duration kReadingHolds = seconds(5);
+inline constexpr Duration kReaderHoldTime = seconds(5);
 
 // A node that hears no other node reads the store itself: longer than a few probes of each node.
-inline constexpr Duration kAloneAfter = milliseconds(1500);
+inline constexpr Duration kIsolatedAfter = milliseconds(1500);
 
 // From a node's start until it reads the store if it is to do so. When a fleet starts for the first
 // time, nodes find each other first. Later some peer has the catalog and hands it over within some
 // milliseconds, unless all nodes were lost, or those that a node knows of: then it lists the store,
 // cheaply, and not at the same moment as all others.
-inline constexpr Duration kHearingAtFirstStart = milliseconds(900);
-inline constexpr Duration kHearing = milliseconds(40);
-inline constexpr Duration kHearingSpread = milliseconds(40);
+inline constexpr Duration kFirstStartWait = milliseconds(900);
+inline constexpr Duration kPeerWait = milliseconds(40);
+inline constexpr Duration kPeerWaitJitter = milliseconds(40);
 // A node that hears nobody lists at a moment of its own between these: of a thousand that start
 // together many hear nobody for some tenths of a second, since all ask the same seeds.
-inline constexpr Duration kShortestAlone = milliseconds(300);
-inline constexpr Duration kLongestAlone = seconds(1);
+inline constexpr Duration kMinIsolatedWait = milliseconds(300);
+inline constexpr Duration kMaxIsolatedWait = seconds(1);
 // Between two steps in which more nodes may list, while nobody hands a catalog over.
-inline constexpr Duration kListingStep = seconds(1);
+inline constexpr Duration kListingInterval = seconds(1);
 // A node's place in the order tells something once it has heard of no further node for so long: of
 // a thousand that start together each knows a few at first, and is the first of these.
 inline constexpr Duration kMembersSettled = milliseconds(200);
@@ -86,14 +86,14 @@
 inline bool MayListAtStart(const StartingNode& node) {
   if (node.is_seed) return true;
   if (node.live_peers == 0) {
-    const Duration spread = kLongestAlone - kShortestAlone;
-    return node.since_start >= kShortestAlone + FromSeconds(node.share * ToSeconds(spread));
+    const Duration spread = kMaxIsolatedWait - kMinIsolatedWait;
+    return node.since_start >= kMinIsolatedWait + FromSeconds(node.share * ToSeconds(spread));
   }
   if (node.since_growth < kMembersSettled) return false;
   size_t listing = kStoreReaders;
-  const int64_t steps = node.since_start / kListingStep;
-  for (int64_t i = 0; i < steps && listing < kMostStoreReaders; ++i) listing *= 2;
-  return node.rank < std::min(listing, kMostStoreReaders);
+  const int64_t steps = node.since_start / kListingInterval;
+  for (int64_t i = 0; i < steps && listing < kMaxStoreReaders; ++i) listing *= 2;
+  return node.rank < std::min(listing, kMaxStoreReaders);
 }
 
 }  // namespace cartsail
--- a/libs/relay/src/catalog/residency_audit.cc
+++ b/libs/relay/src/catalog/residency_audit.cc
@@ -90,12 +90,12 @@
   last_ = now;
   version_ = document.version;
   registry_changes_ = registry.Changes();
-  std::vector<ResidencyFault> untold;
+  std::vector<ResidencyFault> unreported;
   for (ResidencyFault& fault : FindResidencyFaults(document, registry)) {
-    if (told_.size() >= kMostTold) break;
-    if (told_.insert(fault).second) untold.push_back(std::move(fault));
+    if (reported_.size() >= kMaxReported) break;
+    if (reported_.insert(fault).second) unreported.push_back(std::move(fault));
   }
-  return untold;
+  return unreported;
 }
 
 }  // namespace cartsail
--- a/libs/relay/src/catalog/residency_audit.h
+++ b/libs/relay/src/catalog/residency_audit.h
@@ -38,13 +38,13 @@
                                     const BackendRegistry& registry, TimePoint now);
 
   static constexpr Duration kInterval = seconds(5);  // one look passes over all back ends
-  static constexpr size_t kMostTold = 64;            // faults in a process's life
+  static constexpr size_t kMaxReported = 64;         // faults in a process's life
 
  private:
   std::optional<TimePoint> last_;
   int64_t version_ = 0;
   int64_t registry_changes_ = -1;
-  std::set<ResidencyFault> told_;
+  std::set<ResidencyFault> reported_;
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/relay_node.cc
+++ b/libs/relay/src/relay_node.cc
@@ -196,21 +196,21 @@
     return static_cast<int64_t>(context_.dispatcher.Registry().Drains().Zones().size());
   }
 
-  std::vector<ServiceRoom> Rooms(TimePoint now) const {
+  std::vector<ServiceCapacity> Rooms(TimePoint now) const {
     if (context_.routing.Table() == nullptr) return {};
-    return RoomOfAll(context_.routing.Table()->Document(), context_.dispatcher, now);
+    return CapacityOfAll(context_.routing.Table()->Document(), context_.dispatcher, now);
   }
 
   int64_t DrainedRequests(TimePoint now) const {
     if (context_.dispatcher.Registry().Drains().IsEmpty()) return 0;
     int64_t requests = 0;
-    for (const ServiceRoom& room : Rooms(now)) requests += room.drained_requests;
+    for (const ServiceCapacity& room : Rooms(now)) requests += room.drained_requests;
     return requests;
   }
 
   void CheckDrains(TimePoint now) {
     if (context_.dispatcher.Registry().Drains().IsEmpty()) return;
-    for (const ServiceRoom& room : Rooms(now)) {
+    for (const ServiceCapacity& room : Rooms(now)) {
       if (!drain_alarm_.IsDue(room, now)) continue;
       GlobalCounters().drain_alarms_total.Add();
       Log(LogLevel::kWarning, "drain_leaves_little_room",
@@ -218,7 +218,7 @@
            {"requests", std::to_string(room.AllRequests())},
            {"of_these_in_drained_zones", std::to_string(room.drained_requests)},
            {"slots_left", std::to_string(room.slots)},
-           {"share", fmt::format("{:.2f}", DrainAlarm::kCrowdedShare)},
+           {"share", fmt::format("{:.2f}", DrainAlarm::kMaxLoadShare)},
            {"backends_left", std::to_string(room.backends)},
            {"cold", std::to_string(room.cold)},
            {"backends_drained", std::to_string(room.drained_backends)}});
--- a/libs/relay/src/status/node_status.cc
+++ b/libs/relay/src/status/node_status.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-#include "status/service_room.h"
+#include "status/service_capacity.h"
 
 namespace cartsail {
 namespace {
@@ -21,7 +21,7 @@
 class RowList {
  public:
   void Add(json::object row) {
-    if (rows_.size() < kMostStatusRows) {
+    if (rows_.size() < kMaxStatusRows) {
       rows_.push_back(std::move(row));
     } else {
       ++omitted_;
@@ -67,20 +67,20 @@
   return row;
 }
 
-json::object ServiceRow(const ServiceRoom& room) {
-  return {{"service", room.service},
-          {"backends", room.backends},
-          {"cold", room.cold},
-          {"slots", room.slots},
-          {"requests", room.requests},
-          {"drained_backends", room.drained_backends},
-          {"drained_requests", room.drained_requests}};
+json::object ServiceRow(const ServiceCapacity& capacity) {
+  return {{"service", capacity.service},
+          {"backends", capacity.backends},
+          {"cold", capacity.cold},
+          {"slots", capacity.slots},
+          {"requests", capacity.requests},
+          {"drained_backends", capacity.drained_backends},
+          {"drained_requests", capacity.drained_requests}};
 }
 
 json::object ResidencyRow(std::string_view kind, const std::string& name,
                           const std::vector<std::string>& regions) {
   json::array list;
-  const size_t told = std::min(regions.size(), kMostStatusRows);
+  const size_t told = std::min(regions.size(), kMaxStatusRows);
   for (size_t i = 0; i < told; ++i) list.emplace_back(regions[i]);
   return {{"kind", kind}, {"name", name}, {"regions", std::move(list)}};
 }
@@ -139,8 +139,8 @@
   RowList zones;
   for (const auto& [zone, load] : LoadByZone(view)) zones.Add(ZoneRow(view, zone, load, now));
   RowList services;
-  for (const ServiceRoom& room : RoomOfAll(view.document, view.dispatcher, now)) {
-    services.Add(ServiceRow(room));
+  for (const ServiceCapacity& capacity : CapacityOfAll(view.document, view.dispatcher, now)) {
+    services.Add(ServiceRow(capacity));
   }
   RowList residency;
   AddResidency(view.document, &residency);
--- a/libs/relay/src/status/node_status.h
+++ b/libs/relay/src/status/node_status.h
@@ -20,7 +20,7 @@
 inline constexpr std::string_view kBackendParameter = "backend";
 
 // Rows of one list that are told: some 20 KB in all. What is left out is counted in `omitted`.
-inline constexpr size_t kMostStatusRows = 64;
+inline constexpr size_t kMaxStatusRows = 64;
 
 // What is in force at the node.
 struct NodeView {
--- a/libs/relay/src/status/service_room.h
+++ b/libs/relay/src/status/service_capacity.h
@@ -12,7 +12,7 @@
 namespace cartsail {
 
 // Requests as this node knows them: the node that places a service's requests knows all.
-struct ServiceRoom {
+struct ServiceCapacity {
   std::string service;
   int64_t backends = 0;  // that may receive
   int64_t cold = 0;      // of these, still slow after their start
@@ -25,10 +25,10 @@
   int64_t AllRequests() const { return requests + drained_requests; }
 };
 
-ServiceRoom RoomOf(const std::string& service, const Dispatcher& dispatcher, TimePoint now);
+ServiceCapacity CapacityOf(const std::string& service, const Dispatcher& dispatcher, TimePoint now);
 
 // Of all services of the document, in its order.
-std::vector<ServiceRoom> RoomOfAll(const RoutingDocument& document, const Dispatcher& dispatcher,
-                                   TimePoint now);
+std::vector<ServiceCapacity> CapacityOfAll(const RoutingDocument& document,
+                                           const Dispatcher& dispatcher, TimePoint now);
 
 }  // namespace cartsail
--- a/libs/relay/tests/backend_changes_test.cc
+++ b/libs/relay/tests/backend_changes_test.cc
@@ -37,12 +37,12 @@
 Test(backend_changes, those_that_are_forgotten_are_not_left_out) {
   BackendChanges changes;
   changes.Reset(0);
-  const auto most = static_cast<int64_t>(BackendChanges::kMost);
+  const auto most = static_cast<int64_t>(BackendChanges::kMaxChanges);
   for (int64_t revision = 1; revision <= most + 1; ++revision) {
     changes.Note("b" + std::to_string(revision), revision);
   }
   cr_assert(!changes.Since(0).has_value());
-  cr_assert(changes.Since(1)->size() == BackendChanges::kMost);
+  cr_assert(changes.Since(1)->size() == BackendChanges::kMaxChanges);
 }
 
 // A zone of a fleet with 3,000 back ends is lost and comes back, which changes each of them several
--- a/libs/relay/tests/catalog_drains_test.cc
+++ b/libs/relay/tests/catalog_drains_test.cc
@@ -267,7 +267,7 @@
 Test(catalog_entries, one_overwritten_while_the_store_was_away_is_not_kept_as_lapsed) {
   Node node;
   StartReading(node, PlainList(10));
-  const TimePoint long_ago = Now() - LapseGrace::kLeastAbsence - seconds(1);
+  const TimePoint long_ago = Now() - LapseGrace::kMinOutage - seconds(1);
   node.context.routing.Confirm(long_ago);
   RangeResult list =
       ListOf(20, {ItemOf("document", DocumentText(3), 4), ItemOf("backends/a", kUnreadable, 15)});
--- a/libs/relay/tests/catalog_sync_test.cc
+++ b/libs/relay/tests/catalog_sync_test.cc
@@ -165,7 +165,7 @@
   int told = 0;
   node.catalog.SetOnUpdate([&told](const StoreUpdate&) { ++told; });
   node.catalog.Start();
-  node.RunFor(kHearing / 2);
+  node.RunFor(kPeerWait / 2);
   cr_assert(node.store.Lists() == 0, "a peer has some time to answer");
   cr_assert(testing::RunUntil(node.io, [&node] { return node.store.Lists() > 0; }));
   node.RunFor(2 * kCallTime);
@@ -193,7 +193,7 @@
     state.share = share(random);
     const Duration hears_first = milliseconds(random() % 500);
     bool lists = false;
-    for (Duration at = kHearing; at < seconds(3); at += milliseconds(10)) {
+    for (Duration at = kPeerWait; at < seconds(3); at += milliseconds(10)) {
       const double known = std::min(1.0, ToSeconds(at) / ToSeconds(kAllKnown));
       state.since_start = at;
       state.live_peers = at < hears_first ? 0 : static_cast<size_t>(1 + known * (kNodes - 2));
@@ -214,7 +214,7 @@
   node.store.SetList(
       ListOf(10, {ItemOf("document", DocumentText(3), 4), ItemOf("backends/a", "s", 5)}));
   node.catalog.Start();
-  node.RunFor(kHearing + kHearingSpread + 2 * kCallTime);
+  node.RunFor(kPeerWait + kPeerWaitJitter + 2 * kCallTime);
   cr_assert(node.store.StaleLists() == 1 && node.Knows("a"));
 }
 
@@ -225,9 +225,9 @@
   node.store.SetList(
       ListOf(10, {ItemOf("document", DocumentText(3), 4), ItemOf("backends/a", "s", 5)}));
   node.catalog.Start();
-  node.RunFor(kListingStep / 2);
+  node.RunFor(kListingInterval / 2);
   cr_assert(node.store.Lists() == 0);
-  node.RunFor(kListingStep);
+  node.RunFor(kListingInterval);
   cr_assert(node.store.StaleLists() == 1 && node.Knows("a"), "nobody has handed it over");
 }
 
@@ -248,9 +248,9 @@
   node.context.peers.AddHost("10.0.0.1", Now());
   node.store.SetList(ListOf(10, {ItemOf("document", DocumentText(3), 4)}));
   node.catalog.Start();
-  node.RunFor(kHearing / 2);
+  node.RunFor(kPeerWait / 2);
   node.catalog.ApplyCatalog(CatalogOf(12, 2, "b"), "peer");
-  node.RunFor(2 * kHearing + kHearingSpread + kCallTime);
+  node.RunFor(2 * kPeerWait + kPeerWaitJitter + kCallTime);
   cr_assert(node.store.Lists() == 0);
 }
 
@@ -261,7 +261,7 @@
   cr_assert(ReadersNeeded(limits.direct_read_when_unconfirmed, limits) == kStoreReaders);
   cr_assert(ReadersNeeded(milliseconds(2100), limits) == 2 * kStoreReaders);
   cr_assert(ReadersNeeded(milliseconds(3100), limits) == 4 * kStoreReaders);
-  cr_assert(ReadersNeeded(seconds(3600), limits) == kMostStoreReaders);
+  cr_assert(ReadersNeeded(seconds(3600), limits) == kMaxStoreReaders);
 }
 
 // The first 24 may all be cut off from the store.
@@ -278,7 +278,7 @@
       if (reads) had_turn[rank] = true;
       cr_assert(reads || rank >= kStoreReaders, "the first ones always read");
     }
-    cr_assert(readers <= 2 * kMostStoreReaders, "%zu read at a time", readers);
+    cr_assert(readers <= 2 * kMaxStoreReaders, "%zu read at a time", readers);
   }
   cr_assert(std::count(had_turn.begin(), had_turn.end(), true) == kNodes);
   for (size_t rank = 0; rank < 9; ++rank) {
--- a/libs/relay/tests/document_announcer_test.cc
+++ b/libs/relay/tests/document_announcer_test.cc
@@ -174,7 +174,7 @@
   for (int i = 0; i < 20; ++i) peers.push_back({fmt::format("far-{}", i), "z2"});
   const auto count_far = [&announcer](const std::vector<LivePeer>& behind) {
     const std::vector<std::string> told = announcer.NextRound(1, behind, "z1");
-    cr_assert(told.size() == DocumentAnnouncer::kPeersTold);
+    cr_assert(told.size() == DocumentAnnouncer::kPeersPerRound);
     return std::count_if(told.begin(), told.end(),
                          [](const std::string& host) { return host.rfind("far", 0) == 0; });
   };
--- a/libs/relay/tests/fetch_schedule_test.cc
+++ b/libs/relay/tests/fetch_schedule_test.cc
@@ -20,12 +20,12 @@
   FetchSchedule schedule;
   const auto first = schedule.Begin("a", kNow);
   cr_assert(!schedule.MayBegin("b", true, kNow + milliseconds(1)));
-  const TimePoint later = kNow + FetchSchedule::kPatience;
+  const TimePoint later = kNow + FetchSchedule::kOverlapDelay;
   cr_assert(!schedule.MayBegin("a", true, later), "not the same one twice");
   cr_assert(schedule.MayBegin("b", false, later));
   schedule.Begin("b", later);
-  schedule.Begin("c", later + FetchSchedule::kPatience);
-  const TimePoint last = later + 2 * FetchSchedule::kPatience;
+  schedule.Begin("c", later + FetchSchedule::kOverlapDelay);
+  const TimePoint last = later + 2 * FetchSchedule::kOverlapDelay;
   cr_assert(!schedule.MayBegin("d", true, last), "three at once at the most");
   schedule.End(first, last);
   cr_assert(schedule.MayBegin("d", true, last));
--- a/libs/relay/tests/node_status_test.cc
+++ b/libs/relay/tests/node_status_test.cc
@@ -100,8 +100,8 @@
     node.document.tenants.push_back(tenant);
   }
   const json::object told = DescribeNode(node.View(), kNow);
-  cr_assert(GetArray(told, "residency")->size() == kMostStatusRows);
-  cr_assert(GetInt(told, "omitted") == 500 - static_cast<int64_t>(kMostStatusRows));
+  cr_assert(GetArray(told, "residency")->size() == kMaxStatusRows);
+  cr_assert(GetInt(told, "omitted") == 500 - static_cast<int64_t>(kMaxStatusRows));
 }
 
 Test(node_status, names_each_reason_why_a_back_end_is_not_chosen) {
@@ -130,7 +130,7 @@
 
 Test(drain_alarm, is_given_where_little_room_is_left_and_seldom) {
   DrainAlarm alarm;
-  ServiceRoom room;
+  ServiceCapacity room;
   room.service = "chat";
   room.slots = 10;
   room.requests = 6;
@@ -140,7 +140,7 @@
   room.drained_requests = 3;
   cr_assert(alarm.IsDue(room, kNow));
   cr_assert(!alarm.IsDue(room, kNow + DrainAlarm::kInterval - milliseconds(1)));
-  ServiceRoom other = room;
+  ServiceCapacity other = room;
   other.service = "ledger";
   cr_assert(alarm.IsDue(other, kNow), "each service has its own");
   cr_assert(alarm.IsDue(room, kNow + DrainAlarm::kInterval));
@@ -160,7 +160,7 @@
   InvalidEntryLog log;
   size_t lines = 0;
   for (int i = 0; i < 5000; ++i) lines += log.MayLog(std::to_string(i), kNow) ? 1 : 0;
-  cr_assert(lines == InvalidEntryLog::kMostRemembered);
+  cr_assert(lines == InvalidEntryLog::kMaxEntries);
   cr_assert(log.MayLog("later", kNow + InvalidEntryLog::kInterval));
 }
 
--- a/libs/relay/tests/residency_relay_test.cc
+++ b/libs/relay/tests/residency_relay_test.cc
@@ -145,7 +145,7 @@
   document.routes[0].residency = many;
   ++document.version;
   now += ResidencyAudit::kInterval;
-  cr_assert(audit.Check(document, registry, now).size() == ResidencyAudit::kMostTold - 1);
+  cr_assert(audit.Check(document, registry, now).size() == ResidencyAudit::kMaxReported - 1);
 }
 
 bool Has(const std::string& text, const std::string& part) {
