--- a/libs/relay/src/catalog/backend_changes.h
+++ b/libs/relay/src/catalog/backend_changes.h
@@ -1,4 +1,4 @@
-// Which back ends changed after a revision of the store, as far back as it is remembered. Pure.
+// Bounded log of backend changes, queried by store revision. Pure.
 #pragma once
 
 #include <cstdint>
@@ -15,27 +15,29 @@
 class BackendChanges {
  public:
   struct Change {
-    int64_t revision;  // the last one at which the back end came, changed or went
+    int64_t revision;  // latest store revision at which the backend was added, changed or removed
     std::string id;
   };
 
-  // Back ends remembered; a peer that is further behind gets all there are. Were fewer remembered
-  // than a zone of a large fleet has, the loss of the zone would make all nodes take the list of
-  // all 3,000 (48 KB) from each other several times over. Some 130 bytes each.
+  // Maximum number of backends in the log, about 130 bytes each. A peer that is further behind
+  // receives the full list. With a limit below the backend count of a zone in a large fleet, the
+  // loss of that zone would make all nodes fetch the list of all 3,000 backends (48 KB) from each
+  // other several times.
   static constexpr size_t kMaxChanges = 4096;
 
   BackendChanges() = default;
   BackendChanges(const BackendChanges&) = delete;  // `latest_` points into `changes_`
   BackendChanges& operator=(const BackendChanges&) = delete;
 
-  // All back ends are known as of `revision`; nothing is known of the changes before.
+  // Clears the log after the full list as of `revision` was taken over.
   void Reset(int64_t revision) {
     latest_.clear();
     changes_.clear();
     complete_since_ = revision;
   }
 
-  // The back end came, changed or went at `revision`, which never falls.
+  // Records that the backend was added, changed or removed at `revision`, which must not decrease
+  // from call to call.
   void Note(const std::string& id, int64_t revision) {
     const auto known = latest_.find(id);
     if (known != latest_.end()) {
@@ -48,8 +50,8 @@
     if (changes_.size() > kMaxChanges) ForgetOldest();
   }
 
-  // Back ends that changed after `revision`, each once, the latest last; nothing when that is not
-  // known.
+  // Backends changed after `revision`, each listed once, in ascending order of revision; nullopt
+  // when the log does not reach back that far.
   std::optional<std::vector<Change>> Since(int64_t revision) const {
     if (revision < complete_since_) return std::nullopt;
     auto first = changes_.end();
@@ -64,7 +66,7 @@
     changes_.pop_front();
   }
 
-  std::list<Change> changes_;                                                 // the latest last
+  std::list<Change> changes_;  // in ascending order of revision
   std::unordered_map<std::string_view, std::list<Change>::iterator> latest_;  // by id
   int64_t complete_since_ = std::numeric_limits<int64_t>::max();
 };
--- a/libs/relay/src/catalog/backend_news.cc
+++ b/libs/relay/src/catalog/backend_news.cc
@@ -18,10 +18,10 @@
 
 }  // namespace
 
-bool IsRedundantUpdate(const Backend& known, const Backend& told, TimePoint now) {
-  if (StableFields(known) != StableFields(told)) return false;
-  const Duration later = ColdFor(told, now) - ColdFor(known, now);
-  return later <= kMaxColdEndDelay && later >= -kMinColdEndAdvance;
+bool IsRedundantUpdate(const Backend& known, const Backend& update, TimePoint now) {
+  if (StableFields(known) != StableFields(update)) return false;
+  const Duration postponed = ColdFor(update, now) - ColdFor(known, now);
+  return postponed <= kMaxColdEndDelay && postponed >= -kMinColdEndAdvance;
 }
 
 }  // namespace cartsail
--- a/libs/relay/src/catalog/backend_news.h
+++ b/libs/relay/src/catalog/backend_news.h
@@ -1,4 +1,4 @@
-// Whether an entry of a back end tells anything that all nodes have to know. Pure.
+// Detects backend entries that carry no change that other nodes need. Pure.
 #pragma once
 
 #include "cartsail/base/clock.h"
@@ -6,16 +6,17 @@
 
 namespace cartsail {
 
-// The end of a back end's slow time is told as what is left when its entry was written, which the
-// reader hears up to 0.8 s later: it is never earlier than it is, and a word that puts it off by
-// less tells nothing. A back end that starts again puts it off by more.
+// An entry states the cold time left when it was written, and the reader receives it up to 0.8 s
+// later. The end computed from it is therefore never too early, and a postponement of up to this
+// much is no change. A backend that restarts postpones it by more.
 inline constexpr Duration kMaxColdEndDelay = milliseconds(800);
-// An earlier end is news from here on: until then a back end is spared for longer than it needs.
+// An end that is earlier by more than this is a change. A smaller advance is ignored, and the
+// backend is treated as cold for longer than necessary by at most this much.
 inline constexpr Duration kMinColdEndAdvance = milliseconds(300);
 
-// True when `told` is `known` as far as nodes go. A back end that is slow after its start writes
-// its entry anew with each heartbeat, with less time left: were each told, the return of a zone of
-// 1,000 would bring 3,000 changes to all nodes that none of them needs.
-bool IsRedundantUpdate(const Backend& known, const Backend& told, TimePoint now);
+// True when `update` adds nothing to `known` that nodes need. A cold backend rewrites its entry
+// with each heartbeat, with less time left; if each were sent, the return of a zone of 1,000
+// backends would bring 3,000 needless changes to all nodes.
+bool IsRedundantUpdate(const Backend& known, const Backend& update, TimePoint now);
 
 }  // namespace cartsail
--- a/libs/relay/src/catalog/catalog_answers.cc
+++ b/libs/relay/src/catalog/catalog_answers.cc
@@ -1,4 +1,4 @@
-// What a node hands on to its peers: its catalog, and what the store told it.
+// Serves the node's catalog to peers, and sends them the changes read from the store.
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -17,16 +17,18 @@
 
 namespace asio = boost::asio;
 
-// In an update, which has to fit one packet beside its changes: 12 bytes each.
+// Entries in an update, 12 bytes each: an update has to fit into one packet with its changes.
 constexpr size_t kMaxQuarantinedInUpdate = 16;
-constexpr size_t kMaxQuarantinedInCatalog = 1000;  // in a catalog
-constexpr Duration kFullCatalogTtl = seconds(1);   // it names the document's age
-// From one reader to the next: an update reaches the other readers within some milliseconds.
+constexpr size_t kMaxQuarantinedInCatalog = 1000;  // entries in a catalog
+constexpr Duration kFullCatalogTtl = seconds(1);   // it contains the document's age
+// Delay between the turns of successive readers: an update reaches the other readers within a few
+// milliseconds.
 constexpr Duration kSendTurnInterval = milliseconds(25);
 
 }  // namespace
 
-// Tells the others which back ends changed after revision `since`, and that nothing else did.
+// Sends the peers all backend changes after revision `since`, and confirms that there are no
+// others. `confirmed`: when the store answered.
 void CatalogSync::SendUpdate(int64_t since, TimePoint confirmed) {
   if (!on_update_ || context_.routing.Table() == nullptr) return;
   StoreUpdate update;
@@ -47,7 +49,7 @@
   sent_at_ = Now();
 }
 
-// The revision alone when the changes since are forgotten.
+// One batch without changes when the change log does not reach back to `since`.
 std::vector<ChangeBatch> CatalogSync::BatchesSince(int64_t since) const {
   const std::optional<std::vector<BackendChanges::Change>> changed = backend_changes_.Since(since);
   if (!changed.has_value()) return MakeChangeBatches({}, revision_, revision_);
@@ -70,13 +72,14 @@
                                  : EncodeCatalog(MakeCatalog(have, since), Now());
 }
 
-// Nodes that start together all ask for it.
+// Cached, because nodes that start together all request the full catalog. Not cached while the
+// entry of a backend is missing, since that backend soon returns or is removed.
 std::string CatalogSync::EncodedFullCatalog() {
   const TimePoint now = Now();
   const int64_t quarantine_changes = context_.quarantine.List().Changes();
-  const bool holds =
+  const bool is_fresh =
       now - encoded_full_at_ < kFullCatalogTtl && encoded_full_quarantine_ == quarantine_changes;
-  if (!encoded_full_.empty() && holds) return encoded_full_;
+  if (!encoded_full_.empty() && is_fresh) return encoded_full_;
   encoded_full_quarantine_ = quarantine_changes;
   const CatalogMessage catalog = MakeCatalog(0, 0);
   const auto is_missing = [](const Backend& backend) { return backend.missing_until.has_value(); };
@@ -88,7 +91,7 @@
   return encoded;
 }
 
-// As the back end is now.
+// Adds the backend's current state, or its id to `gone` when it is no longer registered.
 void CatalogSync::AddChange(const std::string& id, CatalogMessage* catalog) const {
   const Backend* backend = context_.dispatcher.Registry().Find(id);
   if (backend != nullptr) {
@@ -98,7 +101,8 @@
   }
 }
 
-// Back ends that changed after revision `since`; all of them when that is too long ago.
+// Adds the backends changed after revision `since`, or all backends when the change log does not
+// reach back that far.
 void CatalogSync::FillBackends(int64_t since, CatalogMessage* catalog) const {
   const std::optional<std::vector<BackendChanges::Change>> changed = backend_changes_.Since(since);
   if (!changed.has_value()) {
@@ -109,7 +113,7 @@
   for (const BackendChanges::Change& change : *changed) AddChange(change.id, catalog);
 }
 
-// Without the document when the asker has version `have`.
+// Omits the document unless it is newer than version `have`.
 CatalogMessage CatalogSync::MakeCatalog(int64_t have, int64_t since) {
   CatalogMessage catalog;
   catalog.revision = revision_;
@@ -121,9 +125,9 @@
   return catalog;
 }
 
-// All readers hear a change at the same moment. The first one tells it at once, the others what was
-// not told by then: changes so travel once, and still do when the first one does not hear the
-// store.
+// All readers receive a change at the same time. The first reader sends it at once; each other
+// reader waits for its turn and sends what has not been sent by then. A change is thus normally
+// sent once, and is still sent when the first reader is cut off from the store.
 void CatalogSync::SendUpdateInTurn(TimePoint confirmed) {
   const size_t rank = std::min(peers_.ReadingRank(confirmed), kStoreReaders);
   if (rank == 0) return SendUpdate(sent_revision_, confirmed);
--- a/libs/relay/src/catalog/catalog_message.cc
+++ b/libs/relay/src/catalog/catalog_message.cc
@@ -13,7 +13,7 @@
 namespace cartsail {
 namespace {
 
-// The texts that entries of a catalog share.
+// Collects the strings that entries of a catalog share and refer to by index.
 class NameTable {
  public:
   uint16_t IndexOf(const std::string& name) {
@@ -29,7 +29,7 @@
   std::vector<std::string> names_;
 };
 
-// Empty where a damaged message names none.
+// Empty when the index of a damaged message is out of range.
 std::string NameAt(capnp::List<capnp::Text>::Reader names, uint16_t index) {
   return index < names.size() ? TextOf(names[index]) : std::string();
 }
--- a/libs/relay/src/catalog/catalog_message.h
+++ b/libs/relay/src/catalog/catalog_message.h
@@ -1,4 +1,4 @@
-// All that a node knows from the store, as it hands it to another node. Pure.
+// A node's view of the store, as exchanged between nodes. Pure.
 #pragma once
 
 #include <optional>
@@ -13,21 +13,22 @@
 namespace cartsail {
 
 struct CatalogMessage {
-  int64_t revision = 0;    // of the store: all changes up to it are in
-  DocumentPatch document;  // empty when the asker has this version
-  // Given: `backends` and `gone` are the changes after this revision. Else `backends` are all.
+  int64_t revision = 0;    // store revision up to which all changes are included
+  DocumentPatch document;  // empty when the receiver has this version
+  // When set, `backends` and `gone` are the changes after this revision; otherwise `backends` is
+  // the full list.
   std::optional<int64_t> since;
   std::vector<Backend> backends;
-  std::vector<std::string> gone;                // ids
-  std::vector<std::string> drained_zones;       // all there are, also beside changes
-  std::vector<QuarantinedRequest> quarantined;  // the newest ones, also beside changes
-  Duration document_age{};  // since the first node on its way put the document in force
+  std::vector<std::string> gone;                // ids of removed backends; empty in a full list
+  std::vector<std::string> drained_zones;       // the full list, also when `since` is set
+  std::vector<QuarantinedRequest> quarantined;  // the newest ones, also when `since` is set
+  Duration document_age{};  // since the first node on the document's path put it in force
 };
 
-// Times are sent as what is left at `now`. Compressed.
+// The encoding is compressed. Points in time are encoded as the time left at `now`.
 std::string EncodeCatalog(const CatalogMessage& catalog, TimePoint now);
 
-// Nothing when the bytes are no catalog.
+// Returns nullopt when `bytes` is not a valid catalog.
 std::optional<CatalogMessage> DecodeCatalog(std::string_view bytes, TimePoint now);
 
 }  // namespace cartsail
--- a/libs/relay/src/catalog/catalog_path.h
+++ b/libs/relay/src/catalog/catalog_path.h
@@ -1,5 +1,5 @@
-// The path at which a node hands its catalog to other nodes; `have` names the version of the
-// document that the asker has, `since` the revision up to which it knows the back ends.
+// HTTP path at which a node serves its catalog to other nodes. `have` is the requester's document
+// version, `since` the store revision up to which it knows the backends; absent or 0: none.
 #pragma once
 
 #include <string_view>
--- a/libs/relay/src/catalog/catalog_reading.cc
+++ b/libs/relay/src/catalog/catalog_reading.cc
@@ -1,4 +1,4 @@
-// Reading the store: who of the nodes does, when, and what follows from its answers.
+// Reads the store: decides whether this node reads, and handles answers and errors.
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -63,7 +63,7 @@
 
 bool CatalogSync::IsReading(TimePoint now) const {
   if (IsLeftBehind(now) || now < reading_until_) return true;
-  if (peers_.Peers().empty()) return true;  // no other node is known of
+  if (peers_.Peers().empty()) return true;  // no other node is known
   if (IsIsolated(now)) {
     return Unconfirmed(now) > context_.document_limits.direct_read_when_unconfirmed;
   }
@@ -101,10 +101,11 @@
   return MayListAtStart(self);
 }
 
-// Until a peer has handed over its catalog, or none has done so for long enough: then the node
-// lists the store as it was some seconds ago. It is not known to be the newest, so nothing is
-// refused on it for good; changes since then come from peers, or by a watch. A list of the store as
-// it is would cost ten times as much.
+// Waits for a peer to hand over its catalog; when none does in time, lists the store by a read that
+// may be some seconds stale. Such a list is not confirmed as the newest, so no request is refused
+// for good because of it; later changes come from peers or from a watch. A linearizable list would
+// cost ten times as much. On the fleet's first start, or without known peers, leaves the list to
+// Follow().
 asio::awaitable<void> CatalogSync::GetFirstCatalog() {
   const TimePoint last = Now() + PeerWaitTime();
   while (Now() < last && !context_.HasCatalog()) co_await Pause(kPeerWaitPoll);
@@ -117,13 +118,14 @@
     }
     const absl::Status read = co_await ReadAll(ReadMode::kMayBeStale);
     NoteReachable(read.ok(), std::string(read.message()));
-    // Also where the store had nothing to tell yet.
+    // Also retried when the read succeeded but the store held no catalog yet.
     if (!context_.HasCatalog()) co_await Pause(JitteredRetryDelay(++failures));
   }
 }
 
-// To be called before the answer confirms anything. A node that had to read since the first ones of
-// the order did not hear the store goes on for a while.
+// Must be called before the answer updates the confirmation time, from which the node's turn is
+// computed. A node that read because the first readers got no answer from the store keeps reading
+// for kReaderHoldTime.
 void CatalogSync::NoteAnswered(TimePoint now) {
   const size_t rank = peers_.ReadingRank(now);
   if (rank < kStoreReaders) return;
@@ -148,7 +150,8 @@
       co_await Pause(kReaderCheck);
       continue;
     }
-    // The document may be older than the revision that this node knows: a watch would not tell it.
+    // Lists when a peer has a newer document: it may have changed before the revision that this
+    // node knows, in which case a watch would not deliver it.
     if (must_list_ || IsLeftBehind(Now())) {
       const absl::Status read = co_await ReadAll(ReadMode::kNewest);
       NoteReachable(read.ok(), std::string(read.message()));
@@ -162,7 +165,7 @@
     const absl::Status ended = co_await store_.Watch(
         keys_.prefix, range_end, std::max(revision_, watched_revision_) + 1, on_events);
     if (ended.ok()) {
-      // Changes that follow closely come together in one answer.
+      // Lets changes in quick succession arrive in one answer.
       co_await Pause(kPauseAfterEvents);
       continue;
     }
@@ -191,9 +194,9 @@
     absl::StatusOr<RangeResult> page = co_await store_.Range(request);
     GlobalHistograms().store_call_ms.Note(Now() - begun);
     if (!page.ok()) co_return page.status();
-    // A peer was faster than many pages.
+    // A peer handed over its catalog before all pages were read.
     if (may_be_stale && context_.HasCatalog()) co_return absl::OkStatus();
-    // Pages form no snapshot: changes since the oldest one come again as events.
+    // Pages are not a snapshot: changes made after the oldest page arrive again as watch events.
     revision = std::min(revision, page->revision);
     for (KeyValue& item : page->kvs) items.push_back(std::move(item));
     if (!page->more || items.empty()) break;
@@ -209,7 +212,7 @@
   request.key = keys_.backend_prefix + id;
   const absl::StatusOr<RangeResult> found = co_await store_.Range(request);
   if (!found.ok()) co_return found.status();
-  // Also others whose ids begin alike.
+  // The result may contain other keys that begin with this one.
   for (const KeyValue& item : found->kvs) {
     if (item.key != request.key) continue;
     absl::StatusOr<Backend> backend = codec_.DecodeBackend(id, item.value, Now());
--- a/libs/relay/src/catalog/catalog_sync.cc
+++ b/libs/relay/src/catalog/catalog_sync.cc
@@ -15,7 +15,7 @@
 namespace cartsail {
 namespace {
 
-constexpr size_t kIdsPerLogLine = 5;  // in one log line
+constexpr size_t kIdsPerLogLine = 5;
 
 std::string FormatMillis(Duration duration) { return fmt::format("{:.0f}", ToMillis(duration)); }
 
@@ -106,8 +106,8 @@
       {{"backend", id}, {"why", std::string(why.message())}});
 }
 
-// Also an error: the entry does not tell a start, and earlier ones with this id did. Whoever wrote
-// it is not the back end.
+// An entry without a start time is also an error when the known entry with this id has one: then it
+// was not written by the backend.
 absl::StatusOr<Backend> CatalogSync::DecodeEntry(const KeyValue& item, TimePoint now) const {
   const std::string id = BackendId(item.key);
   absl::StatusOr<Backend> backend = codec_.DecodeBackend(id, item.value, now);
@@ -134,8 +134,8 @@
   return backends;
 }
 
-// An entry that is there but names no back end has not lapsed: what stood there before is gone,
-// also while those whose entries are missing are kept.
+// Removes backends whose entry is present but invalid. Such an entry was overwritten and has not
+// expired, so its backend is removed even while backends with missing entries are kept.
 void CatalogSync::RemoveOverwritten(const std::vector<KeyValue>& items) {
   const TimePoint now = Now();
   BackendRegistry& registry = context_.dispatcher.Registry();
@@ -148,7 +148,8 @@
   context_.dispatcher.ForgetRemovedBackends();
 }
 
-// `revision`: of the store in the list; `asked`: when it held, where that is known.
+// Applies a full list of the store. `revision`: store revision of the list; `asked`: when the list
+// was requested, nullopt when it may be stale.
 void CatalogSync::ApplyAll(const std::vector<KeyValue>& items, int64_t revision,
                            std::optional<TimePoint> asked) {
   for (const KeyValue& item : items) {
@@ -161,8 +162,8 @@
     grace_.NoteAnswer(context_.routing.Confirmed(), now, now);
     NoteAnswered(now);
   }
-  // A peer's catalog that came meanwhile may be newer: what changed between would be lost, since
-  // the watch goes on from the newer revision.
+  // A peer's catalog that arrived meanwhile may be newer. An older list must not replace it: the
+  // changes between the two would be lost, since the watch continues from the newer revision.
   if (revision >= revision_) {
     revision_ = revision;
     sent_revision_ = std::max(sent_revision_, revision_);
@@ -172,7 +173,7 @@
     ReplaceDrainedZones(DrainedZonesIn(items), "store");
   }
   if (!asked.has_value()) return;
-  // What the list says held when it was asked for; the answer may have been long on its way.
+  // The list is confirmed as of its request, since the answer may have been delayed.
   context_.routing.ConfirmFromPeer(*asked);
   if (revision_ >= revision) context_.streams.Processes().NoteListConfirmed(*asked);
   SendUpdate(revision_, *asked);
@@ -182,7 +183,8 @@
   const TimePoint now = Now();
   const CatalogMessage& changes = update.changes;
   NoteVersionElsewhere(update.document_version, now);
-  // In this order: an absence of the store explains entries that are missing now.
+  // Confirm before applying the changes: an outage of the store that this reveals explains entries
+  // that are now missing.
   if (update.document_version == context_.routing.Version()) {
     ConfirmByPeer(now - update.confirmed_age, now);
   }
@@ -233,8 +235,8 @@
 }
 
 void CatalogSync::ConfirmByPeer(TimePoint then, TimePoint now) {
-  const TimePoint heard = context_.routing.Confirmed();
-  if (then > heard) grace_.NoteAnswer(heard, then, now);
+  const TimePoint confirmed = context_.routing.Confirmed();
+  if (then > confirmed) grace_.NoteAnswer(confirmed, then, now);
   context_.routing.ConfirmFromPeer(then);
 }
 
@@ -246,7 +248,7 @@
   if (catalog.revision <= revision_) return;
   revision_ = catalog.revision;
   sent_revision_ = std::max(sent_revision_, revision_);
-  // From here on the store's changes since this revision are enough.
+  // A watch from this revision now suffices.
   must_list_ = false;
   ReplaceDrainedZones({catalog.drained_zones.begin(), catalog.drained_zones.end()}, source);
   if (catalog.since.has_value()) {
@@ -258,7 +260,7 @@
   ApplyEarly(source);
 }
 
-// Of a peer that was asked for the changes since a revision that this node knew.
+// Applies the changes since a revision that this node knew, sent or fetched from a peer.
 void CatalogSync::ApplyChanges(const CatalogMessage& catalog, std::string_view source) {
   encoded_full_.clear();
   Log(LogLevel::kInfo, "backends_changed",
@@ -279,8 +281,8 @@
   }
 }
 
-// At info level the nodes that read the store name each back end; of the others, several hundred, a
-// line for all changes that came together is enough.
+// Nodes that read the store log each removed backend at info level. The other nodes, several
+// hundred, log only one line per set of changes at that level.
 void CatalogSync::RemoveBackend(const std::string& id, LogLevel level, TimePoint now) {
   const std::optional<TimePoint> missing_until = grace_.MissingUntil(now);
   Log(level, missing_until.has_value() ? "backend_missing" : "backend_gone", {{"backend", id}});
@@ -288,8 +290,8 @@
   context_.dispatcher.ForgetRemovedBackends();
 }
 
-// Nodes write streams some times a second and nobody is told of them: a revision that only brought
-// them would make all nodes fetch what they have.
+// Nodes write stream records several times a second, and these are not sent to peers. Announcing a
+// revision that changed nothing else would make all nodes fetch a catalog that they already have.
 bool CatalogSync::IsStreamRecord(const WatchEvent& event) const {
   const std::string& prefix = keys_.stream_prefix;
   return !prefix.empty() && event.kv.key.starts_with(prefix);
@@ -307,13 +309,13 @@
   if (!events.empty() && std::all_of(events.begin(), events.end(), is_of_stream)) {
     context_.routing.Confirm(now);
     context_.streams.Processes().NoteListConfirmed(watch_asked_);
-    // The others are told as often as by watches that end without an event.
+    // Confirms the state to the peers as often as a watch that ends without events would.
     if (now - sent_at_ >= context_.document_limits.min_watch) SendUpdateInTurn(now);
     return;
   }
   for (const WatchEvent& event : events) {
     const std::string& key = event.kv.key;
-    if (event.kv.mod_revision <= known) continue;  // from a peer
+    if (event.kv.mod_revision <= known) continue;  // already received from a peer
     if (key == keys_.document && !event.deleted)
       ApplyDocument(event.kv.value, "store", Duration(0));
     if (IsDrainedZone(key)) ApplyDrainedZone(event, now);
@@ -330,15 +332,16 @@
   SendUpdateInTurn(now);
 }
 
-// Whatever is no news is neither noted as a change nor told to anybody.
+// True for an entry that adds nothing to the registered backend; such an entry is neither recorded
+// as a change nor sent to peers.
 bool CatalogSync::IsKnownAlready(const KeyValue& item, TimePoint now) const {
   const std::string id = BackendId(item.key);
   const Backend* known = context_.dispatcher.Registry().Find(id);
   if (known == nullptr) return false;
-  absl::StatusOr<Backend> told = codec_.DecodeBackend(id, item.value, now);
-  if (!told.ok()) return false;
-  told->created_revision = item.create_revision;
-  return IsRedundantUpdate(*known, *told, now);
+  absl::StatusOr<Backend> update = codec_.DecodeBackend(id, item.value, now);
+  if (!update.ok()) return false;
+  update->created_revision = item.create_revision;
+  return IsRedundantUpdate(*known, *update, now);
 }
 
 void CatalogSync::ApplyBackend(const KeyValue& item) {
@@ -347,7 +350,7 @@
   absl::StatusOr<Backend> backend = DecodeEntry(item, now);
   if (!backend.ok()) {
     NoteInvalidBackend(id, backend.status());
-    // Whoever wrote it: what stood there before holds no longer.
+    // Whoever wrote the invalid entry, the previous one is no longer valid.
     context_.dispatcher.Registry().Remove(id);
     context_.dispatcher.ForgetRemovedBackends();
     return;
@@ -365,10 +368,10 @@
 }
 
 void CatalogSync::ApplyPatch(const DocumentPatch& patch, std::string_view source, Duration age) {
-  const bool of_nothing = patch.base_version == 0;
-  // Of a version that this node no longer has: it has a newer one by now.
-  if (!of_nothing && patch.base_version != context_.routing.Version()) return;
-  const std::string_view base = of_nothing ? std::string_view() : context_.routing.Encoded();
+  const bool is_whole = patch.base_version == 0;
+  // The patch is based on a version that is not in force here, usually an older one.
+  if (!is_whole && patch.base_version != context_.routing.Version()) return;
+  const std::string_view base = is_whole ? std::string_view() : context_.routing.Encoded();
   const absl::StatusOr<std::string> text = ApplyDocumentPatch(base, patch.bytes);
   if (!text.ok()) return NoteInvalid(text.status(), source);
   ApplyDocument(*text, source, age);
@@ -384,7 +387,8 @@
   GlobalCounters().config_revision.Set(std::max(before, version));
   if (version <= before) return;
   const TimePoint now = Now();
-  // How long the node may have missed it: since the store was last known to have none newer.
+  // Upper bound of the time for which this node lacked the version: time since its previous
+  // document was last confirmed as the newest.
   const Duration unconfirmed = now - context_.routing.Confirmed();
   patch_ = {before, MakeDocumentPatch(context_.routing.Encoded(), text)};
   full_document_ = {};
--- a/libs/relay/src/catalog/catalog_sync.h
+++ b/libs/relay/src/catalog/catalog_sync.h
@@ -1,8 +1,9 @@
-// Keeps the routing document and the list of back ends as the store has them. A few nodes of the
-// whole fleet read both and follow changes, and read all again when the store has lost its history;
-// the others take both from peers. More nodes read while nobody hears the store, and a node that
-// hears no peer, or does not get from peers what they have, reads itself. Documents are ordered by
-// their versions, back ends by the store's revisions, wherever they come from.
+// Keeps the routing document and the backend list in sync with the store. A few nodes of the fleet
+// read both and watch for changes, and read everything again when the store has compacted the
+// history that they need; the other nodes receive both from peers. More nodes read while the store
+// answers none of the readers. A node that receives nothing from any peer, or does not get a newer
+// document that a peer has, reads the store itself. Documents are ordered by version and backends
+// by store revision, whatever their source.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -33,49 +34,52 @@
               const CatalogCodec& codec, CatalogKeys keys)
       : context_(context), peers_(peers), store_(store), codec_(codec), keys_(std::move(keys)) {}
 
-  // Runs until the process ends.
+  // Starts following the store; runs until the process ends.
   void Start();
 
-  // Called whenever a newer document is in force.
+  // Sets the callback that runs each time a newer document comes into force.
   void SetOnDocument(std::function<void()> on_document) { on_document_ = std::move(on_document); }
 
-  // Called with what the store told this node, and when nothing new was told.
+  // Sets the callback that receives each update to send to the peers, also one without changes that
+  // only confirms the current state.
   void SetOnUpdate(std::function<void(StoreUpdate)> on_update) {
     on_update_ = std::move(on_update);
   }
 
-  // What the store told a reader. False when this node knows too little to apply it: it has to
-  // fetch the catalog, unless the update overtook the one before it, which is still to come.
+  // Applies an update sent by a reader. Returns false when this node lacks earlier changes or the
+  // document: it has to fetch the catalog, unless the update overtook an earlier one that is still
+  // on its way.
   bool ApplyUpdate(const StoreUpdate& update, std::string_view source);
 
-  // This node has heard no other node since `last_heard`.
+  // Sets when this node last received anything from another node.
   void NotePeersHeard(TimePoint last_heard) { peers_heard_ = last_heard; }
 
-  // Makes the document in force out of the one before.
+  // Patch from the previous document to the one in force.
   const DocumentPatch& LatestPatch() const { return patch_; }
 
-  // A newer document from `source`, where it is made of the one in force here.
+  // Applies a patch received from `source`; ignored unless it is based on the document in force or
+  // on none. `age`: time since the first node on its path put it in force.
   void ApplyPatch(const DocumentPatch& patch, std::string_view source, Duration age);
 
-  // The entry of a back end as the store has it now; nothing in the status where there is none.
+  // Reads the current entry of a backend from the store; nullopt when there is none.
   boost::asio::awaitable<absl::StatusOr<std::optional<Backend>>> ReadBackend(std::string id);
 
-  // Revision of the store up to which all changes are known; 0: none.
+  // Store revision up to which all changes are known; 0: none.
   int64_t Revision() const { return revision_; }
 
-  // True when this node is to read the store itself.
+  // True when this node should read the store itself.
   bool IsReading(TimePoint now) const;
 
-  // What this node knows, encoded for the peer whose request this is.
+  // Returns the encoded catalog that answers a peer's `request`.
   std::string AnswerPeer(const HttpRequest& request);
 
-  // A peer has told of a document of this version.
+  // Records that a peer has this version of the document.
   void NoteVersionElsewhere(int64_t version, TimePoint now);
 
-  // A peer with the same document had the store's word at `then`.
+  // Records that a peer with the same document had it confirmed by the store at `then`.
   void ConfirmByPeer(TimePoint then, TimePoint now);
 
-  // What a peer knows: taken over when it is newer.
+  // Applies a peer's catalog as far as it is newer.
   void ApplyCatalog(const CatalogMessage& catalog, std::string_view source);
 
  private:
@@ -84,7 +88,7 @@
   boost::asio::awaitable<void> Follow();
   boost::asio::awaitable<void> GetFirstCatalog();
   Duration PeerWaitTime() const;
-  // This node, which knows nothing yet, is to list the store.
+  // True when this node, which has no catalog yet, may list the store.
   bool MayListFirst(TimePoint now);
   bool IsIsolated(TimePoint now) const;
   Duration Unconfirmed(TimePoint now) const;
@@ -120,7 +124,7 @@
   void ReplaceDrainedZones(const std::set<std::string>& zones, std::string_view source);
   void ApplyDrainedZone(const WatchEvent& event, TimePoint now);
   void LogDrainedZones(std::string_view source) const;
-  // The request whose record has this key; nothing for any other key.
+  // Fingerprint of the quarantined request stored under `key`; nullopt for any other key.
   std::optional<RequestFingerprint> QuarantinedIn(const std::string& key) const;
   void ApplyQuarantine(const WatchEvent& event, TimePoint now);
   CatalogMessage MakeCatalog(int64_t have, int64_t since);
@@ -145,24 +149,24 @@
   std::function<void(StoreUpdate)> on_update_;
   TimePoint started_ = Now();
   TimePoint peers_heard_ = started_;
-  size_t max_live_peers_ = 0;               // peers, at once, before the first catalog
-  TimePoint last_member_found_ = started_;  // when a further one was heard of
+  size_t max_live_peers_ = 0;               // most peers live at once before the first catalog
+  TimePoint last_member_found_ = started_;  // when max_live_peers_ last rose
   double listing_offset_ = 0;               // StartingNode::share
-  TimePoint reading_until_{};               // though others come first
+  TimePoint reading_until_{};               // reads at least until then, whatever its rank
   int64_t revision_ = 0;
-  TimePoint watch_asked_{};       // when the call was made whose events come
-  int64_t watched_revision_ = 0;  // up to which the store has told events, of whatever keys
-  TimePoint sent_at_{};           // when this node last told the others
-  int64_t sent_revision_ = 0;     // up to which all nodes were told of changes, by whatever reader
+  TimePoint watch_asked_{};       // start of the watch call, or its last answer
+  int64_t watched_revision_ = 0;  // latest revision of a watch event, of any key
+  TimePoint sent_at_{};           // when this node last sent an update
+  int64_t sent_revision_ = 0;     // up to which some reader has sent the changes to all
   bool send_pending_ = false;
-  DocumentPatch patch_;          // of the document in force, made of the one before
-  DocumentPatch full_document_;  // of the document in force; empty until somebody needs it
-  std::string encoded_full_;     // catalog for nodes that know nothing; empty until one asks
+  DocumentPatch patch_;          // from the previous document to the one in force
+  DocumentPatch full_document_;  // the whole document in force; empty until needed
+  std::string encoded_full_;     // the full catalog; empty until requested
   TimePoint encoded_full_at_{};
-  int64_t encoded_full_quarantine_ = 0;  // changes of the quarantine list by then
-  // While a peer has a newer document than this node: since when.
+  int64_t encoded_full_quarantine_ = 0;  // QuarantineList::Changes() of encoded_full_
+  // Since when a peer is known to have a newer document; nullopt when none is.
   std::optional<TimePoint> behind_since_;
-  bool must_list_ = true;  // the changes since `revision_` are not to be had from the store
+  bool must_list_ = true;  // the store cannot deliver the changes since `revision_`
   bool reachable_ = false;
   bool was_known_ = false;
 };
--- a/libs/relay/src/catalog/catalog_wire.h
+++ b/libs/relay/src/catalog/catalog_wire.h
@@ -1,4 +1,4 @@
-// Encoding of catalogs as parts of messages (Cap'n Proto). Pure.
+// Encoding of catalogs inside Cap'n Proto messages. Pure.
 #pragma once
 
 #include "catalog/catalog_message.h"
@@ -6,7 +6,7 @@
 
 namespace cartsail {
 
-// Times are sent as what is left at `now`.
+// Points in time are encoded as the time left at `now`.
 void FillCatalog(const CatalogMessage& catalog, TimePoint now, wire::Catalog::Builder root);
 
 CatalogMessage CatalogFrom(wire::Catalog::Reader root, TimePoint now);
--- a/libs/relay/src/catalog/change_batches.h
+++ b/libs/relay/src/catalog/change_batches.h
@@ -1,5 +1,5 @@
-// Changes of back ends in batches that each fit one packet, so that all nodes can be told of some
-// hundred changes instead of fetching them. Pure.
+// Splits backend changes into batches that each fit into one packet, so that several hundred
+// changes can be sent to all nodes instead of being fetched by them. Pure.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,23 @@
 
 namespace cartsail {
 
-// Whoever knows the back ends as of `since` and takes these over knows them as of `revision`, but
-// for those that a later batch brings.
+// Brings a node that knows the backends as of `since` to `revision`, except for backends that a
+// later batch contains. `ids`: the changed backends.
 struct ChangeBatch {
   int64_t since = 0;
   int64_t revision = 0;
   std::vector<std::string> ids;
 };
 
-// With 100 targets and 16 changes of 40 bytes an update has 1.1 KB.
+// With 100 targets and 16 changes of 40 bytes, an update takes 1.1 KB.
 inline constexpr size_t kChangesPerBatch = 16;
-// Of more changes only the revision is told, and nodes fetch them: a reader sends each batch to
-// some ten nodes, so that 20 batches keep a link of 10 Mbit/s busy for 0.2 s.
+// With more changes than this, only the revision is sent and nodes fetch the changes. A reader
+// sends each batch to about ten nodes, so 20 batches occupy a 10 Mbit/s link for 0.2 s.
 inline constexpr size_t kMaxChangesSent = 320;
 
-// `changes`: all after `since`, the latest last. All that changed at one revision is in one batch.
-// One batch without changes when there are none, or too many to be told.
+// `changes`: all changes after `since`, in ascending order of revision. Changes of one revision
+// stay in one batch. Returns one batch without changes when there are none or more than
+// kMaxChangesSent.
 inline std::vector<ChangeBatch> MakeChangeBatches(
     const std::vector<BackendChanges::Change>& changes, int64_t since, int64_t revision) {
   if (changes.size() > kMaxChangesSent) return {{revision, revision, {}}};
--- a/libs/relay/src/catalog/document_announcer.cc
+++ b/libs/relay/src/catalog/document_announcer.cc
@@ -16,7 +16,7 @@
   }
 };
 
-// Moves the first ones to `hosts`, until it has `size`.
+// Moves the hosts of the first candidates to `hosts` until it holds `size` hosts.
 void TakeFirstHosts(std::vector<Candidate>* candidates, size_t size,
                     std::vector<std::string>* hosts) {
   std::sort(candidates->begin(), candidates->end());
--- a/libs/relay/src/catalog/document_announcer.h
+++ b/libs/relay/src/catalog/document_announcer.h
@@ -1,6 +1,6 @@
-// Whom a node tells of a new version of the routing document, and how often. Every node that gets
-// a new version tells a few others at once, so that a version reaches n nodes in about
-// log(n) / log(kPeersPerRound) trips and no node hands it to more than kPeersPerRound others at a
+// Selects the peers that a node notifies of a new version of the routing document. Every node that
+// receives a new version notifies a few others at once, so a version reaches n nodes in about
+// log(n) / log(kPeersPerRound) hops, and no node sends it to more than kPeersPerRound others at a
 // time. Pure.
 #pragma once
 
@@ -18,21 +18,22 @@
 
 class DocumentAnnouncer {
  public:
-  // Peers that are told in one round.
+  // Peers notified in one round.
   static constexpr size_t kPeersPerRound = 4;
-  // Rounds of one version. With 15 of 100 datagrams lost, 480 nodes and 8 readers, every node is
-  // told within 0.2 s in each of 20 seeds (document_announcer_test).
+  // Rounds per version. With 15% datagram loss, 480 nodes and 8 readers, every node is notified
+  // within 0.2 s with each of 20 seeds (document_announcer_test).
   static constexpr int kRounds = 8;
-  // Between two rounds: longer than a notice and its answer take between zones (1 to 3 ms), so that
-  // peers that have the version are not told again.
+  // Longer than a notice and its answer take between zones (1 to 3 ms), so that peers that have
+  // the version are not notified again.
   static constexpr Duration kRoundInterval = milliseconds(50);
 
-  // `node`: this node's name; nodes tell others in different orders.
+  // `node`: this node's name, which seeds the order of peers so that it differs between nodes.
   explicit DocumentAnnouncer(std::string_view node) : seed_(Hash64(node)) {}
 
-  // Hosts to tell now that `version` is in force here, of those that are not known to have it;
-  // none when it has been told enough. One is of another zone than `zone`, the others of this one
-  // as long as there are some: who is told fetches from who told it, and bytes between zones cost.
+  // Hosts to notify in the next round that `version` is in force here, chosen from `behind`, the
+  // peers not known to have it; empty after kRounds rounds. One host is outside `zone`, this node's
+  // zone, and the others are inside it as far as possible: a notified peer fetches from the
+  // notifier, and traffic between zones is expensive.
   std::vector<std::string> NextRound(int64_t version, const std::vector<LivePeer>& behind,
                                      const std::string& zone);
 
@@ -40,7 +41,7 @@
   uint64_t seed_;
   int64_t version_ = 0;
   int rounds_ = 0;
-  std::map<std::string, int> notices_sent_;  // times, by host
+  std::map<std::string, int> notices_sent_;  // count by host
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/catalog/document_notice.h
+++ b/libs/relay/src/catalog/document_notice.h
@@ -1,4 +1,5 @@
-// Tells a peer that a version of the routing document is in force, or answers that. A plain struct.
+// Notifies a peer of the version of the routing document in force, or answers such a notice. A
+// plain struct.
 #pragma once
 
 #include <cstdint>
@@ -10,9 +11,9 @@
 
 struct DocumentNotice {
   int64_t version = 0;     // in force at the sender
-  Duration age{};          // since the first node on its way put it in force
-  DocumentPatch patch;     // makes this version; empty when too large, or not needed
-  bool is_answer = false;  // to a notice: is not answered
+  Duration age{};          // since the first node on its path put it in force
+  DocumentPatch patch;     // to this version; empty when too large or not needed
+  bool is_answer = false;  // an answer is not answered in turn
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/catalog/document_patch.h
+++ b/libs/relay/src/catalog/document_patch.h
@@ -1,4 +1,4 @@
-// A routing document as what it adds to an earlier one (zstd, the earlier one as its prefix). Pure.
+// Delta encoding of routing documents: zstd with the base document as prefix. Pure.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -9,17 +9,17 @@
 
 namespace cartsail {
 
-// A version of the document as another version and what is added to it.
+// A document version, encoded relative to `base_version`.
 struct DocumentPatch {
-  int64_t base_version = 0;  // 0: made of nothing
+  int64_t base_version = 0;  // 0: no base, the whole document
   std::string bytes;
 };
 
-// What `text` adds to `base`; an empty base packs the whole text. A document of 12 KB in which one
-// route was added packs into about 0.1 KB, whole into about 3 KB.
+// Encodes `text` relative to `base`, or on its own when `base` is empty. A document of 12 KB takes
+// about 0.1 KB when one route was added, and about 3 KB on its own.
 std::string MakeDocumentPatch(std::string_view base, std::string_view text);
 
-// The text. kInvalidArgument when `patch` is none, or was made of another base.
+// Returns the text; kInvalidArgument when `patch` is malformed or has another base.
 absl::StatusOr<std::string> ApplyDocumentPatch(std::string_view base, std::string_view patch);
 
 }  // namespace cartsail
--- a/libs/relay/src/catalog/early_updates.h
+++ b/libs/relay/src/catalog/early_updates.h
@@ -1,5 +1,5 @@
-// Updates that overtook the one before them on their way: kept until that one has come, so that
-// nothing need be fetched. Pure.
+// Holds updates that arrived before their predecessor until it arrives, so that nothing has to be
+// fetched. Pure.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 class EarlyUpdates {
  public:
-  // Those of two batches of changes; the node that lacks more fetches them.
+  // The updates of two sets of changes; a node that lacks more fetches them.
   static constexpr size_t kMaxUpdates = 48;
 
   void Keep(const StoreUpdate& update) {
@@ -21,7 +21,8 @@
     updates_.insert_or_assign(update.changes.since.value_or(0), update);
   }
 
-  // One that follows `revision`; older ones are forgotten.
+  // Removes and returns an update that applies to `revision`, and drops those that add nothing to
+  // it; nullopt when there is none.
   std::optional<StoreUpdate> TakeNext(int64_t revision) {
     while (!updates_.empty() && updates_.begin()->first <= revision) {
       StoreUpdate update = std::move(updates_.begin()->second);
@@ -32,7 +33,7 @@
   }
 
  private:
-  std::map<int64_t, StoreUpdate> updates_;  // by the revision that they follow
+  std::map<int64_t, StoreUpdate> updates_;  // by StoreUpdate::changes.since
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/catalog/fetch_schedule.h
+++ b/libs/relay/src/catalog/fetch_schedule.h
@@ -1,4 +1,4 @@
-// When a node may ask another one for its catalog. Pure.
+// Decides when a node may fetch the catalog of another node. Pure.
 #pragma once
 
 #include <algorithm>
@@ -11,11 +11,12 @@
 
 class FetchSchedule {
  public:
-  // A fetch that takes longer does not keep a node from asking another one. Half a KB over a link
-  // of 10 Mbit/s takes some milliseconds; a lost first packet of a connection is sent again after 1
-  // s.
+  // A fetch that takes longer no longer blocks one from another node. Half a KB over a link of
+  // 10 Mbit/s takes a few milliseconds, but a lost first packet of a connection is sent again only
+  // after 1 s.
   static constexpr Duration kOverlapDelay = milliseconds(200);
-  // Between the end of a fetch and the next one, so that changes that follow closely come together.
+  // Between the end of a fetch and the next, so that one fetch collects changes in quick
+  // succession.
   static constexpr Duration kPause = milliseconds(250);
   static constexpr size_t kMaxConcurrent = 3;
 
@@ -26,7 +27,7 @@
 
   using Running = std::list<Fetch>::iterator;
 
-  // `is_urgent`: a newer document is to be had there; no pause is made then.
+  // `is_urgent`: `host` has a newer document, so kPause does not apply.
   bool MayBegin(const std::string& host, bool is_urgent, TimePoint now) const {
     if (running_.empty()) return is_urgent || now - ended_ >= kPause;
     if (running_.size() >= kMaxConcurrent || now - running_.back().begun < kOverlapDelay)
@@ -45,7 +46,7 @@
   }
 
  private:
-  std::list<Fetch> running_;  // the latest last
+  std::list<Fetch> running_;  // in order of start
   TimePoint ended_{};
 };
 
--- a/libs/relay/src/catalog/invalid_entry_log.h
+++ b/libs/relay/src/catalog/invalid_entry_log.h
@@ -1,5 +1,5 @@
-// Which entries of back ends that cannot be read are named in the log: a writer that goes on
-// writing them would crowd out the other lines. Pure.
+// Limits the log lines on invalid backend entries: a writer that keeps writing them would crowd out
+// other lines. Pure.
 #pragma once
 
 #include <map>
@@ -12,9 +12,10 @@
 class InvalidEntryLog {
  public:
   static constexpr Duration kInterval = seconds(60);  // between two lines on one entry
-  static constexpr size_t kMaxEntries = 1000;         // entries, some 100 KB
+  static constexpr size_t kMaxEntries = 1000;         // about 100 KB
 
-  // True when a line is to be written. More entries than are remembered get none.
+  // True when a line should be logged for entry `id`. Once kMaxEntries entries were logged within
+  // kInterval, further ones get no line.
   bool MayLog(const std::string& id, TimePoint now) {
     const auto found = logged_.find(id);
     if (found != logged_.end()) {
--- a/libs/relay/src/catalog/lapse_grace.h
+++ b/libs/relay/src/catalog/lapse_grace.h
@@ -1,5 +1,6 @@
-// Back ends' entries lapse while the store is away, and are back soon after its return if the back
-// end lives. Tells how long an entry that is missing then is to be taken for lapsed. Pure.
+// Backend entries expire while the store is unavailable, and live backends write them again soon
+// after it recovers. Determines how long a missing entry then counts as expired instead of removed.
+// Pure.
 #pragma once
 
 #include <optional>
@@ -10,20 +11,22 @@
 
 class LapseGrace {
  public:
-  // Learnt at `now`: the store answered, this node or a peer, at `answered`; before that it was
-  // last heard at `heard`.
-  void NoteAnswer(TimePoint heard, TimePoint answered, TimePoint now) {
-    const bool was_away = heard != TimePoint() && answered - heard >= kMinOutage;
-    if (was_away) until_ = now + kGrace;
+  // Records that the store answered this node or a peer at `answered`, as learned at `now`.
+  // `last_answer`: the previous known answer; TimePoint() when there is none.
+  void NoteAnswer(TimePoint last_answer, TimePoint answered, TimePoint now) {
+    const bool was_unavailable = last_answer != TimePoint() && answered - last_answer >= kMinOutage;
+    if (was_unavailable) until_ = now + kGrace;
   }
 
-  // Entries missing at `now` count as lapsed until then; nothing: they are gone.
+  // Time until which an entry missing at `now` counts as expired; nullopt: it was removed.
   std::optional<TimePoint> MissingUntil(TimePoint now) const {
     if (now >= until_) return std::nullopt;
     return until_;
   }
 
+  // Time without an answer from the store from which on it counts as unavailable.
   static constexpr Duration kMinOutage = milliseconds(2800);
+  // Time after an outage in which missing entries count as expired.
   static constexpr Duration kGrace = milliseconds(1800);
 
  private:
--- a/libs/relay/src/catalog/reading_duty.h
+++ b/libs/relay/src/catalog/reading_duty.h
@@ -1,5 +1,4 @@
-// How many nodes read the store at a time, and how long a node that starts waits for its peers.
-// Pure.
+// Decides which nodes read the store, and how long a starting node waits for its peers. Pure.
 #pragma once
 
 #include <algorithm>
@@ -10,16 +9,19 @@
 
 namespace cartsail {
 
-// The first ones of an order that all nodes agree on. With three, two of which may be cut off from
-// the store, a change is still heard at once; each of them makes one call in about 1.9 s.
+// Number of nodes that normally read the store: the first in an order on which all nodes agree.
+// With three, a change is still received at once when two are cut off from the store. Each makes
+// one call in about 1.9 s.
 inline constexpr size_t kStoreReaders = 3;
-// While the store answers nobody, more and more nodes try: those that read may be the only ones
-// that it turns away. So many of the first ones at most, and beside them some fewer of the others
-// in turns, so that an outage costs some calls a second, whatever the size of the fleet.
+// Limit of that number. While no reader gets an answer, more and more nodes try, since the store
+// may be refusing only the current readers. Beyond the limit, a slightly smaller group of other
+// nodes reads in turns, so that an outage costs a few calls per second whatever the size of the
+// fleet.
 inline constexpr size_t kMaxStoreReaders = 24;
 
-// How many nodes read. `unconfirmed`: how long ago the store was last heard, by this node or by its
-// peers. The number doubles with each third of the deadline for new documents beyond the first two.
+// Number of nodes that read. `unconfirmed`: time since the store last answered this node or one of
+// its peers. The number doubles once this exceeds two thirds of the deadline for new documents, and
+// again with each further third.
 inline size_t ReadersNeeded(Duration unconfirmed, const DocumentLimits& limits) {
   size_t readers = kStoreReaders;
   Duration limit = limits.direct_read_when_unconfirmed;
@@ -30,8 +32,9 @@
   return std::min(readers, kMaxStoreReaders);
 }
 
-// True when the node at place `rank` of `nodes` reads the store. Beside the first ones, who always
-// do, turns of equal length go through the order once the number has reached its limit.
+// True when the node with this `rank` (from 0) among `nodes` reads the store. The first
+// ReadersNeeded() nodes always do. One turn after their number has reached its limit, groups of
+// the other nodes read as well, each for one turn of equal length.
 inline bool HasReadingTurn(size_t rank, size_t nodes, Duration unconfirmed,
                            const DocumentLimits& limits) {
   if (rank < ReadersNeeded(unconfirmed, limits)) return true;
@@ -46,43 +49,45 @@
   return (rank - kStoreReaders + others - first) % others < in_turn;
 }
 
-// A node that was not among the first but had to read and was answered goes on for this long, since
-// those before it may be cut off for some time.
+// Time for which a node that is not among the first kStoreReaders keeps reading after it got an
+// answer, since the nodes before it may be cut off for some time.
 inline constexpr Duration kReaderHoldTime = seconds(5);
 
-// A node that hears no other node reads the store itself: longer than a few probes of each node.
+// A node that has received nothing from any peer for this long counts as isolated, and reads the
+// store itself when its document stays unconfirmed. Longer than a few probes of each node.
 inline constexpr Duration kIsolatedAfter = milliseconds(1500);
 
-// From a node's start until it reads the store if it is to do so. When a fleet starts for the first
-// time, nodes find each other first. Later some peer has the catalog and hands it over within some
-// milliseconds, unless all nodes were lost, or those that a node knows of: then it lists the store,
-// cheaply, and not at the same moment as all others.
+// Time from a node's start until it may read the store. On the first start of a fleet
+// (kFirstStartWait), nodes find each other first. Later, a peer hands over its catalog within a few
+// milliseconds, unless all nodes, or all that the node knows of, were lost; then the node lists the
+// store with a cheap stale read, jittered so that nodes do not all list at the same time.
 inline constexpr Duration kFirstStartWait = milliseconds(900);
 inline constexpr Duration kPeerWait = milliseconds(40);
 inline constexpr Duration kPeerWaitJitter = milliseconds(40);
-// A node that hears nobody lists at a moment of its own between these: of a thousand that start
-// together many hear nobody for some tenths of a second, since all ask the same seeds.
+// A starting node without a live peer lists the store at a random time between these two. Of a
+// thousand nodes that start together, many have no live peer for some tenths of a second, since all
+// of them ask the same seeds.
 inline constexpr Duration kMinIsolatedWait = milliseconds(300);
 inline constexpr Duration kMaxIsolatedWait = seconds(1);
-// Between two steps in which more nodes may list, while nobody hands a catalog over.
+// The number of nodes that may list doubles at this interval until a catalog is handed over.
 inline constexpr Duration kListingInterval = seconds(1);
-// A node's place in the order tells something once it has heard of no further node for so long: of
-// a thousand that start together each knows a few at first, and is the first of these.
+// A node's rank counts only after no further node was discovered for this long: of a thousand nodes
+// that start together, each knows only a few at first and may rank first among them.
 inline constexpr Duration kMembersSettled = milliseconds(200);
 
-// What a node that has just started and has no catalog knows.
+// State of a node that has started and has no catalog yet.
 struct StartingNode {
-  bool is_seed = false;     // others are told of it when they start, and ask it first
-  size_t live_peers = 0;    // that it has heard of
-  size_t rank = 0;          // among these and itself
-  Duration since_growth{};  // since it heard of a further one
+  bool is_seed = false;     // listed in the seeds, which starting nodes ask first
+  size_t live_peers = 0;    // known live peers
+  size_t rank = 0;          // from 0, among the known live peers and itself
+  Duration since_growth{};  // since the highest number of live peers rose
   Duration since_start{};
-  double share = 0;  // from 0 to 1, drawn by each node
+  double share = 0;  // position in the isolated wait, from 0 to 1, random per node
 };
 
-// True when it may list the store, which costs a page for each 200 back ends. The seeds do at once,
-// and the others get the list from them; where there are none, the first ones of the order, more of
-// them with each step.
+// True when the node may list the store, which costs one call per page of entries. Seeds may do so
+// at once, and the other nodes get the list from them. For fleets without live seeds, the first
+// nodes of the order may list too, twice as many after each interval.
 inline bool MayListAtStart(const StartingNode& node) {
   if (node.is_seed) return true;
   if (node.live_peers == 0) {
--- a/libs/relay/src/catalog/residency_audit.cc
+++ b/libs/relay/src/catalog/residency_audit.cc
@@ -8,7 +8,7 @@
 namespace cartsail {
 namespace {
 
-// Finds the faults of one document against one state of the registry.
+// Collects the residency faults of one document against one state of the registry.
 class FaultFinder {
  public:
   FaultFinder(const RoutingDocument& document, const BackendRegistry& registry)
@@ -49,7 +49,7 @@
     }
   }
 
-  // Such back ends serve no restricted request.
+  // Backends in zones without a region serve no request with a residency rule.
   void FindZones() {
     if (registry_.Regions().Count() == 0) return;
     std::set<std::string> zones;
@@ -84,7 +84,7 @@
 
 std::vector<ResidencyFault> ResidencyAudit::Check(const RoutingDocument& document,
                                                   const BackendRegistry& registry, TimePoint now) {
-  if (!last_.has_value()) last_ = now;  // back ends are still being learnt
+  if (!last_.has_value()) last_ = now;  // the backend list may still be incomplete
   if (now - *last_ < kInterval) return {};
   if (document.version == version_ && registry.Changes() == registry_changes_) return {};
   last_ = now;
--- a/libs/relay/src/catalog/residency_audit.h
+++ b/libs/relay/src/catalog/residency_audit.h
@@ -1,5 +1,5 @@
-// Looks whether the data residency that the document asks for can be kept: what cannot is logged
-// once, so that operators see a fault before its requests are refused.
+// Checks whether the data residency rules of the routing document can be met. Each fault is
+// reported once, so that operators see it before requests are refused.
 #pragma once
 
 #include <optional>
@@ -15,10 +15,10 @@
 namespace cartsail {
 
 struct ResidencyFault {
-  std::string field;    // of the document or the settings
-  std::string value;    // of it
+  std::string field;    // path in the document, or `zones` for the zone setting
+  std::string value;    // value of `field`
   std::string why;      // unknown_region, no_backend, zone_without_region
-  std::string service;  // that has no back end there; empty: not of one
+  std::string service;  // without a backend in the allowed regions; empty for other faults
 
   bool operator==(const ResidencyFault&) const = default;
   bool operator<(const ResidencyFault& other) const {
@@ -33,12 +33,14 @@
 
 class ResidencyAudit {
  public:
-  // The faults that were not told before, when it is time to look again. To be called often.
+  // Returns the faults not reported before. Empty until kInterval has passed since the first call
+  // or the last check, and while neither the document nor the registry has changed. Meant to be
+  // called often.
   std::vector<ResidencyFault> Check(const RoutingDocument& document,
                                     const BackendRegistry& registry, TimePoint now);
 
-  static constexpr Duration kInterval = seconds(5);  // one look passes over all back ends
-  static constexpr size_t kMaxReported = 64;         // faults in a process's life
+  static constexpr Duration kInterval = seconds(5);  // each check visits all backends
+  static constexpr size_t kMaxReported = 64;         // faults per process
 
  private:
   std::optional<TimePoint> last_;
--- a/libs/relay/src/catalog/store_update.h
+++ b/libs/relay/src/catalog/store_update.h
@@ -1,7 +1,7 @@
-// What the store told a reader, on its way to all nodes, and how it travels: the reader sends it to
-// one node of each other zone and to some of its own; each passes it on to the nodes that it is
-// given as targets. A reader so sends some tens of messages, every other node a few, and each
-// update crosses to another zone once. Pure.
+// Changes read from the store, and their distribution to all nodes: the reader sends an update to
+// one node of each other zone and to some nodes of its own zone, and each of these forwards it to
+// the targets named in it. The reader thus sends some tens of messages, every other node a few, and
+// an update crosses into each other zone once. Pure.
 #pragma once
 
 #include <cstdint>
@@ -17,31 +17,32 @@
 namespace cartsail {
 
 struct StoreUpdate {
-  // Back ends that changed after `changes.since`; receivers that know less fetch the rest. Without
-  // a document.
+  // Backends changed after `changes.since`, without a document. A receiver that lacks earlier
+  // changes fetches them.
   CatalogMessage changes;
-  int64_t document_version = 0;
-  Duration confirmed_age{};  // since the store answered
-  // Since the list of back ends was the store's for sure; nothing: not told.
+  int64_t document_version = 0;  // in force at the reader
+  Duration confirmed_age{};      // time since the store answered the reader
+  // Time since the backend list was last confirmed by the store; nullopt: unknown.
   std::optional<Duration> list_age;
-  std::vector<std::string> targets;  // hosts to which the receiver passes it on
+  std::vector<std::string> targets;  // hosts to which the receiver forwards the update
 };
 
-// A message to `host`, which is to pass it on to `targets`.
+// An update message to `host`, which forwards it to `targets`.
 struct UpdateBranch {
   std::string host;
   std::vector<std::string> targets;
 };
 
-// Messages of one node at a time. With 8, an update takes four trips to reach 480 nodes.
+// Messages that one node sends per update in its zone. With 8, an update reaches 480 nodes in four
+// hops.
 inline constexpr size_t kUpdateFanOut = 8;
 
-// From a reader in `zone` to all of `live`. The nodes that pass it on differ from time to time, so
-// that one that does not answer holds up one update only.
+// Branches from a reader in `zone` to all of `live`. The forwarding nodes are chosen at random for
+// each update, so that a node that does not respond delays only that update.
 std::vector<UpdateBranch> BranchesByZone(const std::vector<LivePeer>& live, const std::string& zone,
                                          std::mt19937_64& random);
 
-// To `targets`, at most kUpdateFanOut branches.
+// Splits `targets` into at most kUpdateFanOut branches.
 std::vector<UpdateBranch> Branches(const std::vector<std::string>& targets);
 
 }  // namespace cartsail
--- a/libs/relay/src/status/drain_alarm.h
+++ b/libs/relay/src/status/drain_alarm.h
@@ -1,4 +1,4 @@
-// Tells when a drained zone leaves too little room for a service. Pure.
+// Detects services that drained zones leave with too little capacity. Pure.
 #pragma once
 
 #include <map>
@@ -11,17 +11,17 @@
 
 class DrainAlarm {
  public:
-  // Requests, as a share of the slots that are left. Above it a rise by a quarter, as between the
-  // mean and the top of a daily wave, finds all slots taken.
+  // Limit of the ratio of requests to remaining slots. Above it, a rise by a quarter, as between
+  // the mean and the peak of a daily cycle, would take all slots.
   static constexpr double kMaxLoadShare = 0.8;
-  // Between two alarms about one service.
+  // Minimum interval between two alarms for one service.
   static constexpr Duration kInterval = seconds(10);
 
-  // True when an alarm is to be given now.
+  // True when an alarm should be raised now; starts a new interval then.
   bool IsDue(const ServiceCapacity& capacity, TimePoint now);
 
  private:
-  std::map<std::string, TimePoint> last_alarm_;  // by service
+  std::map<std::string, TimePoint> last_alarm_;  // time, by service
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/status/node_status.cc
+++ b/libs/relay/src/status/node_status.cc
@@ -17,7 +17,7 @@
   return found == view.zone_regions.end() ? std::string() : found->second;
 }
 
-// Appends, or counts what there is no room for.
+// JSON array of at most kMaxStatusRows rows; further rows are only counted.
 class RowList {
  public:
   void Add(json::object row) {
@@ -80,8 +80,8 @@
 json::object ResidencyRow(std::string_view kind, const std::string& name,
                           const std::vector<std::string>& regions) {
   json::array list;
-  const size_t told = std::min(regions.size(), kMaxStatusRows);
-  for (size_t i = 0; i < told; ++i) list.emplace_back(regions[i]);
+  const size_t count = std::min(regions.size(), kMaxStatusRows);
+  for (size_t i = 0; i < count; ++i) list.emplace_back(regions[i]);
   return {{"kind", kind}, {"name", name}, {"regions", std::move(list)}};
 }
 
@@ -113,7 +113,7 @@
   return false;
 }
 
-// In the order in which a request meets them. None: it is one of several to choose from.
+// In the order in which they are checked for a request. Empty when the backend is eligible.
 json::array ReasonsNotChosen(const Backend& backend, const Dispatcher& dispatcher, TimePoint now) {
   json::array reasons;
   if (backend.state == BackendState::kLeaving) reasons.emplace_back("leaving");
--- a/libs/relay/src/status/node_status.h
+++ b/libs/relay/src/status/node_status.h
@@ -1,5 +1,6 @@
-// What a node tells operators of its own view: drained zones, room, regions in force, quarantined
-// requests, and why a back end gets no request. Bounded in size. Pure.
+// Status report of a node for operators, from its own view: drained zones, capacity, residency
+// rules in force, quarantined requests, and why a backend receives no requests. Bounded in size.
+// Pure.
 #pragma once
 
 #include <map>
@@ -15,14 +16,14 @@
 
 namespace cartsail {
 
-// The path, and the parameter that names one back end.
+// HTTP path of the report, and the query parameter that selects one backend by id.
 inline constexpr std::string_view kStatusPath = "/status";
 inline constexpr std::string_view kBackendParameter = "backend";
 
-// Rows of one list that are told: some 20 KB in all. What is left out is counted in `omitted`.
+// Maximum rows per list, about 20 KB in all. Rows left out are counted in `omitted`.
 inline constexpr size_t kMaxStatusRows = 64;
 
-// What is in force at the node.
+// Node state from which the report is built.
 struct NodeView {
   std::string node;
   std::string zone;
@@ -36,7 +37,7 @@
 
 json::object DescribeNode(const NodeView& view, TimePoint now);
 
-// Nothing when the node knows no such back end.
+// Returns nullopt when the node does not know the backend.
 std::optional<json::object> DescribeBackend(const NodeView& view, std::string_view id,
                                             TimePoint now);
 
