--- a/libs/relay/src/catalog/catalog_reading.cc
+++ b/libs/relay/src/catalog/catalog_reading.cc
@@ -1,4 +1,4 @@
-// Reading the store: who of the nodes does, when, and what follows from its answers.
+// Reads the store: decides whether this node reads, and handles answers and errors.
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -21,29 +21,29 @@
 
 namespace asio = boost::asio;
 
-constexpr Duration kFirstPause = milliseconds(100);
-constexpr Duration kLongestPause = milliseconds(800);
+constexpr Duration kMinRetryDelay = milliseconds(100);
+constexpr Duration kMaxRetryDelay = milliseconds(800);
 constexpr int64_t kItemsPerPage = 500;
 constexpr Duration kPauseAfterEvents = milliseconds(150);
 constexpr Duration kReaderCheck = milliseconds(250);
-constexpr Duration kHearingCheck = milliseconds(10);
+constexpr Duration kPeerWaitPoll = milliseconds(10);
 
 double RandomShare() {
   thread_local std::minstd_rand generator(std::random_device{}());
   return std::uniform_real_distribution<double>(0, 1)(generator);
 }
 
-Duration JitteredPause(int failures) {
-  Duration pause = kFirstPause;
-  for (int i = 1; i < failures && pause < kLongestPause; ++i) pause *= 2;
-  pause = std::min(pause, kLongestPause);
+Duration JitteredRetryDelay(int failures) {
+  Duration pause = kMinRetryDelay;
+  for (int i = 1; i < failures && pause < kMaxRetryDelay; ++i) pause *= 2;
+  pause = std::min(pause, kMaxRetryDelay);
   return FromSeconds(ToSeconds(pause) * (0.7 + 0.6 * RandomShare()));
 }
 
 }  // namespace
 
 void CatalogSync::Start() {
-  listing_share_ = RandomShare();
+  listing_offset_ = RandomShare();
   asio::co_spawn(context_.io, Follow(), asio::detached);
 }
 
@@ -57,14 +57,14 @@
   return now - std::max(started_, context_.routing.Confirmed());
 }
 
-bool CatalogSync::IsAlone(TimePoint now) const {
-  return peers_.LiveCount() == 0 || now - peers_heard_ > kAloneAfter;
+bool CatalogSync::IsIsolated(TimePoint now) const {
+  return peers_.LiveCount() == 0 || now - peers_heard_ > kIsolatedAfter;
 }
 
 bool CatalogSync::IsReading(TimePoint now) const {
   if (IsLeftBehind(now) || now < reading_until_) return true;
-  if (peers_.Peers().empty()) return true;  // no other node is known of
-  if (IsAlone(now)) {
+  if (peers_.Peers().empty()) return true;  // no other node is known
+  if (IsIsolated(now)) {
     return Unconfirmed(now) > context_.document_limits.direct_read_when_unconfirmed;
   }
   return HasReadingTurn(peers_.ReadingRank(now), peers_.LiveCount() + 1, Unconfirmed(now),
@@ -80,56 +80,58 @@
   if (version > context_.routing.Version() && !behind_since_.has_value()) behind_since_ = now;
 }
 
-Duration CatalogSync::HearingTime() const {
-  if (context_.options.first_start) return kHearingAtFirstStart;
+Duration CatalogSync::PeerWaitTime() const {
+  if (context_.options.first_start) return kFirstStartWait;
   if (peers_.Peers().empty()) return Duration(0);
-  return kHearing + FromSeconds(ToSeconds(kHearingSpread) * RandomShare());
+  return kPeerWait + FromSeconds(ToSeconds(kPeerWaitJitter) * RandomShare());
 }
 
 bool CatalogSync::MayListFirst(TimePoint now) {
   const size_t live = peers_.LiveCount();
-  if (live > most_live_) members_grew_ = now;
-  most_live_ = std::max(most_live_, live);
+  if (live > max_live_peers_) last_member_found_ = now;
+  max_live_peers_ = std::max(max_live_peers_, live);
   const std::vector<std::string>& seeds = context_.options.seeds;
   StartingNode self;
   self.is_seed = std::find(seeds.begin(), seeds.end(), context_.options.peer.host) != seeds.end();
   self.live_peers = live;
   self.rank = peers_.ReadingRank(now);
-  self.since_growth = now - members_grew_;
+  self.since_growth = now - last_member_found_;
   self.since_start = now - started_;
-  self.share = listing_share_;
+  self.share = listing_offset_;
   return MayListAtStart(self);
 }
 
-// Until a peer has handed over its catalog, or none has done so for long enough: then the node
-// lists the store as it was some seconds ago. It is not known to be the newest, so nothing is
-// refused on it for good; changes since then come from peers, or by a watch. A list of the store as
-// it is would cost ten times as much.
+// Waits for a peer to hand over its catalog; when none does in time, lists the store by a read that
+// may be some seconds stale. Such a list is not confirmed as the newest, so no request is refused
+// for good because of it; later changes come from peers or from a watch. A linearizable list would
+// cost ten times as much. On the fleet's first start, or without known peers, leaves the list to
+// Follow().
 asio::awaitable<void> CatalogSync::GetFirstCatalog() {
-  const TimePoint last = Now() + HearingTime();
-  while (Now() < last && !context_.HasCatalog()) co_await Pause(kHearingCheck);
+  const TimePoint last = Now() + PeerWaitTime();
+  while (Now() < last && !context_.HasCatalog()) co_await Pause(kPeerWaitPoll);
   if (context_.options.first_start || peers_.Peers().empty()) co_return;
   int failures = 0;
   while (!context_.HasCatalog()) {
     if (!MayListFirst(Now())) {
-      co_await Pause(kHearingCheck);
+      co_await Pause(kPeerWaitPoll);
       continue;
     }
     const absl::Status read = co_await ReadAll(ReadMode::kMayBeStale);
     NoteReachable(read.ok(), std::string(read.message()));
-    // Also where the store had nothing to tell yet.
-    if (!context_.HasCatalog()) co_await Pause(JitteredPause(++failures));
+    // Also retried when the read succeeded but the store held no catalog yet.
+    if (!context_.HasCatalog()) co_await Pause(JitteredRetryDelay(++failures));
   }
 }
 
-// To be called before the answer confirms anything. A node that had to read since the first ones of
-// the order did not hear the store goes on for a while.
+// Must be called before the answer updates the confirmation time, from which the node's turn is
+// computed. A node that read because the first readers got no answer from the store keeps reading
+// for kReaderHoldTime.
 void CatalogSync::NoteAnswered(TimePoint now) {
   const size_t rank = peers_.ReadingRank(now);
   if (rank < kStoreReaders) return;
   const bool has_turn =
       HasReadingTurn(rank, peers_.LiveCount() + 1, Unconfirmed(now), context_.document_limits);
-  if (has_turn) reading_until_ = now + kReadingHolds;
+  if (has_turn) reading_until_ = now + kReaderHoldTime;
 }
 
 asio::awaitable<void> CatalogSync::Follow() {
@@ -148,12 +150,13 @@
       co_await Pause(kReaderCheck);
       continue;
     }
-    // The document may be older than the revision that this node knows: a watch would not tell it.
+    // Lists when a peer has a newer document: it may have changed before the revision that this
+    // node knows, in which case a watch would not deliver it.
     if (must_list_ || IsLeftBehind(Now())) {
       const absl::Status read = co_await ReadAll(ReadMode::kNewest);
       NoteReachable(read.ok(), std::string(read.message()));
       if (!read.ok()) {
-        co_await Pause(JitteredPause(++failures));
+        co_await Pause(JitteredRetryDelay(++failures));
         continue;
       }
       failures = 0;
@@ -162,7 +165,7 @@
     const absl::Status ended = co_await store_.Watch(
         keys_.prefix, range_end, std::max(revision_, watched_revision_) + 1, on_events);
     if (ended.ok()) {
-      // Changes that follow closely come together in one answer.
+      // Lets changes in quick succession arrive in one answer.
       co_await Pause(kPauseAfterEvents);
       continue;
     }
@@ -172,7 +175,7 @@
       continue;
     }
     NoteReachable(false, std::string(ended.message()));
-    co_await Pause(JitteredPause(++failures));
+    co_await Pause(JitteredRetryDelay(++failures));
   }
 }
 
@@ -191,9 +194,9 @@
     absl::StatusOr<RangeResult> page = co_await store_.Range(request);
     GlobalHistograms().store_call_ms.Note(Now() - begun);
     if (!page.ok()) co_return page.status();
-    // A peer was faster than many pages.
+    // A peer handed over its catalog before all pages were read.
     if (may_be_stale && context_.HasCatalog()) co_return absl::OkStatus();
-    // Pages form no snapshot: changes since the oldest one come again as events.
+    // Pages are not a snapshot: changes made after the oldest page arrive again as watch events.
     revision = std::min(revision, page->revision);
     for (KeyValue& item : page->kvs) items.push_back(std::move(item));
     if (!page->more || items.empty()) break;
@@ -209,7 +212,7 @@
   request.key = keys_.backend_prefix + id;
   const absl::StatusOr<RangeResult> found = co_await store_.Range(request);
   if (!found.ok()) co_return found.status();
-  // Also others whose ids begin alike.
+  // The result may contain other keys that begin with this one.
   for (const KeyValue& item : found->kvs) {
     if (item.key != request.key) continue;
     absl::StatusOr<Backend> backend = codec_.DecodeBackend(id, item.value, Now());
