--- a/libs/relay/src/request/exchange.h
+++ b/libs/relay/src/request/exchange.h
@@ -1,4 +1,4 @@
-// ProcessVerifier one request from its head to its final answer: admission, attempts at back ends
+// Processes one request from its head to its final answer: admission, attempts at back ends
 // and forwarding of the answer.
 #pragma once
 
@@ -51,7 +51,7 @@
   Exchange(RelayContext& context, std::shared_ptr<CallerConnection> caller,
            std::shared_ptr<RequestMemory> memory, CallerRequest request);
 
-  // ProcessVerifier the request. Returns true if the caller's connection may serve another request.
+  // Processes the request. Returns true if the caller's connection may serve another request.
   boost::asio::awaitable<bool> Run();
 
  private:
