--- a/libs/dispatch/include/cartsail/dispatch/attempt_outcome.h
+++ b/libs/dispatch/include/cartsail/dispatch/attempt_outcome.h
@@ -1,4 +1,5 @@
-// How one attempt at a back end ended, and what may be done next. Pure.
+// The outcome of one attempt to send a request to a back end, and whether the request may be sent
+// to another one. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,44 +10,45 @@
 namespace cartsail {
 
 enum class AttemptOutcome {
-  kAnswered,       // a whole answer that is passed on
-  kFailedAnswer,   // a whole answer that tells a failure of a request that ran
-  kNotSent,        // no connection: nothing was sent
-  kRefused,        // the back end says that it did not run the request
-  kWrongInstance,  // another start of a back end has the address; it did not run the request
-  kCut,            // the connection broke after bytes may have been sent
-  kSpoilt,         // bytes that are no answer to this request
-  kSilent,         // nothing came for too long
-  kTimedOut,       // the request's own time ended
+  kAnswered,       // complete answer that is passed on to the caller
+  kFailedAnswer,   // complete answer reporting that the request ran and failed
+  kNotSent,        // no connection was established; nothing was sent
+  kRefused,        // the back end stated that it did not run the request
+  kWrongInstance,  // another incarnation has the address and did not run the request
+  kCut,            // the connection was lost after bytes may have been sent
+  kSpoilt,         // the bytes received are not an answer to this request
+  kSilent,         // no data arrived within the time allowed
+  kTimedOut,       // the deadline of the request passed
   kCallerGone,
-  // The back end began to leave, its zone was drained, or it became cold after it was chosen:
-  // nothing was sent, and it says nothing about the back end.
+  // The back end began to leave, its zone was drained, or it became cold after it was chosen.
+  // Nothing was sent, so the outcome does not affect the back end's health.
   kWithheld,
-  // This node broke it off, since back ends end under the request: it says nothing about this one.
+  // This node cancelled the attempt because back ends end while they run this request. The outcome
+  // does not affect the health of the back end tried last.
   kGivenUp,
-  // No way to the back end was found from here, and nothing was sent; or one was lost while the
-  // request may have been sent. Neither says anything about the back end.
+  // kNoPath: this node found no network path to the back end, and nothing was sent. kPathLost: the
+  // path was lost when the request may have been sent. Neither affects the back end's health.
   kNoPath,
   kPathLost,
 };
 
-inline constexpr int kAttemptOutcomes = 14;  // the number of them
+inline constexpr int kAttemptOutcomes = 14;  // number of enumerators
 
 std::string_view AttemptOutcomeName(AttemptOutcome outcome);
 
 // True when the back end provably did not run the request.
 bool ProvablyNotRun(AttemptOutcome outcome);
 
-// What one request has used so far.
+// What one request has used up so far.
 struct AttemptHistory {
-  int64_t attempts = 0;      // back ends that bytes of the request were sent to
-  int64_t may_have_run = 0;  // of these, those that did not say that they refused
+  int64_t attempts = 0;      // back ends to which bytes of the request were sent
+  int64_t may_have_run = 0;  // of `attempts`, those that did not report a refusal
   int64_t connects_failed = 0;
-  bool output_delivered = false;  // the caller has seen part of an answer
+  bool output_delivered = false;  // part of an answer has been passed to the caller
 };
 
-// True when the request may go to one more back end after `outcome`. Not for the time left or the
-// retry budget, which the caller checks.
+// True when the request may be sent to one more back end after `outcome`. Does not check the time
+// left or the retry budget; the caller does.
 bool MayRetry(const RouteRule& route, AttemptOutcome outcome, const AttemptHistory& history);
 
 }  // namespace cartsail
--- a/libs/dispatch/include/cartsail/dispatch/backend_health.h
+++ b/libs/dispatch/include/cartsail/dispatch/backend_health.h
@@ -1,5 +1,5 @@
-// What recent requests tell about a back end's health: failures weigh against it, lost connections
-// suspend it for a growing time. No probes. Pure.
+// Passive health tracking of back ends: recent failures count against a back end, and lost
+// connections suspend it for exponentially growing periods. Sends no probes and performs no I/O.
 #pragma once
 
 #include <functional>
@@ -17,33 +17,34 @@
   double failures = 0;
 };
 
-// Share of failures, 0 to 1, with a few successes assumed where little is known.
+// Fraction of failed attempts, 0 to 1, smoothed by assuming a few successes so that a single
+// failure among few attempts does not dominate.
 double FailureShare(const RecentAttempts& recent);
 
-// Whose request an attempt belongs to. Peers tell of their own attempts in digests; those that this
-// node followed for them are counted apart, so that none counts twice.
+// Whose request an attempt belongs to. Peers report their own attempts in digests. Attempts that
+// this node followed for its peers are counted separately, so that no attempt counts twice.
 enum class AttemptOrigin { kOwn, kPeer };
 
 class BackendHealth {
  public:
   void Note(BackendKey backend, AttemptOutcome outcome, AttemptOrigin origin, TimePoint now);
 
-  // Time to the first output against what was expected of it, 1 being as expected.
+  // Records the ratio of the measured to the expected time to first output; 1 is as expected.
   void NotePace(BackendKey backend, double ratio, TimePoint now);
 
   bool IsSuspended(BackendKey backend, TimePoint now) const;
 
-  // The attempts of the last seconds of one origin; they fade with time.
+  // Attempts of `origin` within the last seconds, with exponential decay.
   RecentAttempts Recent(BackendKey backend, AttemptOrigin origin, TimePoint now) const;
 
-  // Back ends at which some attempt of this node failed lately.
+  // Back ends at which an attempt of this node failed recently.
   std::vector<BackendKey> RecentlyFailing(TimePoint now) const;
 
-  // How many times longer than expected it takes, at least 1. What was measured fades, as one that
-  // is avoided for it is not measured again.
+  // How many times longer than expected the time to first output is, at least 1. Measurements
+  // decay, because a back end that is avoided for being slow is not measured again.
   double Slowness(BackendKey backend, TimePoint now) const;
 
-  // Forgets all back ends but those that `is_known` holds.
+  // Forgets every back end for which `is_known` returns false.
   void ForgetUnless(const std::function<bool(BackendKey backend)>& is_known);
 
  private:
@@ -55,7 +56,7 @@
   struct Record {
     FadingAttempts own;
     FadingAttempts of_peers;
-    double slowness = 1;  // at `paced`
+    double slowness = 1;  // as of `paced`
     TimePoint paced;
     int consecutive_losses = 0;
     TimePoint suspended_until;
--- a/libs/dispatch/include/cartsail/dispatch/brittle_back_ends.h
+++ b/libs/dispatch/include/cartsail/dispatch/brittle_back_ends.h
@@ -1,6 +1,7 @@
-// Back ends that end when they have to turn away too many requests in a second for want of room,
-// and that may have less room than before without saying so. What all nodes together send one
-// beyond the room that it surely has stays within what it bears to turn away. Pure.
+// Limits for brittle back ends: those that crash when they have to reject too many requests in a
+// second for lack of capacity, and whose capacity may shrink without notice. What all nodes
+// together send to such a back end beyond its safe capacity stays within the number that it can
+// reject. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,21 +16,21 @@
 
 // What one node may grant to a brittle back end.
 struct BrittleAllowance {
-  int64_t safe_requests = 0;  // at it at once, as far as this node follows them
-  GrantAllowance beyond;      // `most` may be 0: none
+  int64_t safe_requests = 0;  // concurrent requests there that this node knows of
+  GrantAllowance beyond;      // limit on requests beyond `safe_requests`; `most` 0: none
 };
 
-// `bears_per_s`: that it bears to turn away in a second. `share`: of the fleet that this node sees
-// and grants for, 0 to 1.
-BrittleAllowance AllowanceOfBrittle(double bears_per_s, double share, int64_t slots);
+// `tolerated_rejections_per_s`: rejections a second that the back end tolerates. `share`: fraction
+// of the fleet that this node sees and grants for, 0 to 1.
+BrittleAllowance AllowanceOfBrittle(double tolerated_rejections_per_s, double share, int64_t slots);
 
 class BrittleBackEnds {
  public:
-  // One has turned a request away. It gets none for a while: what is under way then may be turned
-  // away too.
-  void NoteTurnedAway(BackendKey backend, TimePoint now) { turned_away_[backend] = now; }
+  // Records that a back end has rejected a request. It gets no further request for one window,
+  // because those already in flight may be rejected too.
+  void NoteRejection(BackendKey backend, TimePoint now) { last_rejections_[backend] = now; }
 
-  // The time until one may get one more request, while `requests` are there; 0: now.
+  // Time until the back end may get one more request while it has `requests`; 0: now.
   Duration WaitFor(BackendKey backend, const BrittleAllowance& allowance, int64_t requests,
                    const GrantLimiter& grants, TimePoint now) const;
 
@@ -37,7 +38,7 @@
   void Expire(TimePoint now);
 
  private:
-  std::unordered_map<BackendKey, TimePoint> turned_away_;  // last
+  std::unordered_map<BackendKey, TimePoint> last_rejections_;  // time of the last rejection
 };
 
 }  // namespace cartsail
--- a/libs/dispatch/include/cartsail/dispatch/cold_back_ends.h
+++ b/libs/dispatch/include/cartsail/dispatch/cold_back_ends.h
@@ -1,7 +1,8 @@
-// Which back ends are cold, as far as this node knows: slow after a start for a while. Their
-// entries tell; a zone that was restored, and a back end that was lost and answers again, may have
-// started before their entries tell. One that was lost is asked, since requests go elsewhere while
-// it is held for cold. Only services with a warm-up count. Pure.
+// Which back ends are cold, that is, still slow after a start, as far as this node knows. Sources
+// are the back ends' entries, zones that were restored after a drain, and lost back ends that
+// answer again, since these may have restarted before their entries say so. A lost back end is
+// queried, because requests go elsewhere while it counts as cold. Only services with a warm-up are
+// covered. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -21,9 +22,9 @@
 namespace cartsail {
 
 enum class ColdReason {
-  kEntry,     // its entry tells
+  kEntry,     // its entry says so
   kRestored,  // its zone was restored after a drain
-  kLost,      // connections to it were lost, and it may have started again
+  kLost,      // connections to it were lost; it may have restarted
 };
 
 std::string_view ColdReasonName(ColdReason reason);
@@ -31,70 +32,74 @@
 struct ColdPeriod {
   ColdReason reason = ColdReason::kEntry;
   TimePoint until;
-  // What it got before does not count: if it is cold, another process got it.
+  // Requests granted before this time do not count against the allowance: if the back end is cold,
+  // an earlier process received them.
   TimePoint since = TimePoint::min();
-  bool needs_warmth_query = false;  // it has not told since it was lost how long it stays cold
+  bool needs_warmth_query = false;  // lost, and has not reported since then how long it stays cold
 };
 
 struct ServiceWarmUp {
   Duration length{};
-  GrantAllowance allowance;     // of one node to one cold back end
-  bool reports_warmth = false;  // back ends can be asked how long they stay cold
+  GrantAllowance allowance;     // what one node may grant to one cold back end
+  bool reports_warmth = false;  // back ends can be queried for how long they stay cold
 };
 
-// What a back end that was asked how long it stays cold has told.
+// The answer of a back end to the query how long it stays cold.
 struct WarmthReport {
   Duration cold_left{};  // 0: it is warm
-  TimePoint asked;       // when the question was sent
+  TimePoint asked;       // when the query was sent
 };
 
 class ColdBackEnds {
  public:
   void SetRules(const std::vector<ServiceRule>& services, const ColdBound& bound);
 
-  // nullptr: the service's back ends are never cold.
+  // The warm-up of `service`; nullptr: its back ends are never cold.
   const ServiceWarmUp* RuleOf(const std::string& service) const;
 
-  // Services with a warm-up.
+  // Names of the services with a warm-up.
   std::vector<std::string> Services() const;
 
-  // An attempt at `backend` that began at `begun` has ended, or its first output has come.
+  // Records that an attempt at `backend` that began at `begun` has ended, or has produced its first
+  // output.
   void NoteOutcome(const Backend& backend, AttemptOutcome outcome, TimePoint begun, TimePoint now);
 
-  // As its entry and the drained zones tell, which all nodes hear.
+  // The cold period according to the entry and the zone of the back end; all nodes learn of these.
   std::optional<ColdPeriod> ReportedColdPeriodOf(const Backend& backend, const ServiceWarmUp& rule,
                                                  const ZoneDrains& drains, TimePoint now) const;
 
-  // The spell that ends last; nothing where the back end is warm.
+  // The cold period that ends last, from any source; nothing when the back end is warm.
   std::optional<ColdPeriod> ColdPeriodOf(const Backend& backend, const ServiceWarmUp& rule,
                                          const ZoneDrains& drains, TimePoint now) const;
 
   bool HasLosses() const { return !losses_.empty(); }
 
-  // Those that were lost, have not told since how long they stay cold, and were not asked just
-  // before.
+  // Lost back ends that have not reported since how long they stay cold, and whose next query is
+  // due.
   std::vector<BackendKey> DueForWarmthQuery(TimePoint now) const;
 
+  // Records that a query or a trial request was sent, and schedules the next one.
   void NoteAsked(BackendKey backend, TimePoint now);
 
-  // The same for one that can't be asked: a request is to go there, whose answer tells that it is
-  // back.
+  // As DueForWarmthQuery(), for a back end that cannot be queried: one request is to be sent to it,
+  // and the answer shows that it is back.
   bool IsDueForTrial(const Backend& backend, TimePoint now) const;
 
-  // True when that ends or settles a spell after a loss: the question was sent after it.
-  bool NoteWarmth(BackendKey backend, const WarmthReport& answer, TimePoint now);
+  // Returns true when the report decides the cold period after a loss, which requires that the
+  // query was sent after the loss.
+  bool NoteWarmth(BackendKey backend, const WarmthReport& report, TimePoint now);
 
-  // Drops losses that no longer matter. To be called about once a second.
+  // Forgets losses whose cold period has ended. To be called about once a second.
   void Expire(TimePoint now);
 
  private:
   struct Loss {
     TimePoint lost;
-    TimePoint warm;  // unless it is lost again
+    TimePoint warm;  // end of the cold period, unless it is lost again
     bool answered = false;
-    bool told = false;  // how long it stays cold
-    int questions = 0;  // since it was lost
-    TimePoint next_question;
+    bool reported = false;  // has reported since the loss how long it stays cold
+    int queries = 0;        // queries sent since the loss
+    TimePoint next_query;
   };
 
   void NoteLoss(BackendKey backend, TimePoint warm, TimePoint now);
--- a/libs/dispatch/include/cartsail/dispatch/cold_limits.h
+++ b/libs/dispatch/include/cartsail/dispatch/cold_limits.h
@@ -1,4 +1,4 @@
-// What is believed of back ends that tell how long they stay cold. Pure.
+// Limits on how long back ends may claim to stay cold. Performs no I/O.
 #pragma once
 
 #include <chrono>
@@ -7,7 +7,7 @@
 
 namespace cartsail {
 
-// Far above what any back end tells: who tells more is none, or is not believed.
+// Longest cold period that is accepted; far above what any correct back end reports.
 inline constexpr Duration kMaxColdPeriod = std::chrono::hours(1);
 
 }  // namespace cartsail
--- a/libs/dispatch/include/cartsail/dispatch/connection_share.h
+++ b/libs/dispatch/include/cartsail/dispatch/connection_share.h
@@ -1,5 +1,5 @@
-// A back end takes so many connections from all nodes together, and resets any beyond: how many of
-// them one node keeps open while it does not use them. Pure.
+// How many idle connections one node keeps to a back end that accepts a limited number of
+// connections from all nodes together and resets any beyond. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -7,14 +7,15 @@
 
 namespace cartsail {
 
-// Of a back end without a bound, or with a large one.
+// Limit for a back end that accepts any number of connections, or a large one.
 inline constexpr size_t kMaxIdleConnections = 32;
 
-// Of all connections; the rest are for requests that run.
+// Fraction of all connections that may be idle; the rest are for running requests.
 inline constexpr double kIdleConnectionShare = 0.75;
 
-// `max_connections`: what the back end takes of all callers; 0: any number. `nodes`: that share
-// them, this one included. One at least: a node with none would connect for each request.
+// `max_connections`: what the back end accepts from all callers; 0: any number. `nodes`: the nodes
+// that share them, including this one. The result is at least one, because a node without idle
+// connections would connect for each request.
 size_t IdleConnectionsPerNode(int64_t max_connections, int64_t nodes);
 
 }  // namespace cartsail
--- a/libs/dispatch/include/cartsail/dispatch/dispatcher.h
+++ b/libs/dispatch/include/cartsail/dispatch/dispatcher.h
@@ -1,6 +1,7 @@
-// Chooses the back end of each request and keeps what that choice needs: the registry, the load of
-// this node and its peers, prefixes, health. One per node. A coordinator's dispatcher also chooses
-// for other nodes' requests and follows them. Pure: time goes in with every call.
+// Chooses the back end of each request and keeps the state that the choice needs: the registry, the
+// load of this node and its peers, prefixes and health. There is one dispatcher per node. A
+// coordinator's dispatcher also places and follows the requests of other nodes. Performs no I/O;
+// the current time is passed with every call.
 #pragma once
 
 #include <absl/container/inlined_vector.h>
@@ -34,16 +35,16 @@
 
 namespace cartsail {
 
-// A part of a prompt placed at a back end.
+// A prompt part whose request was placed at a back end.
 struct PrefixPlacement {
   uint64_t part = 0;
   BackendKey backend = 0;
 };
 
-// What a node tells its peers, several times a second.
+// What a node sends to its peers several times a second.
 struct DispatchDigest {
   std::vector<BackendLoadEntry> loads;
-  std::vector<PrefixPlacement> prefixes;  // placed since the digest before
+  std::vector<PrefixPlacement> prefixes;  // placed since the previous digest
   std::vector<BackendKey> leaving;        // back ends that are known to be leaving
   std::vector<ServiceWork> work;
 };
@@ -56,116 +57,121 @@
 
 class Dispatcher {
  public:
-  // `seed`: of the draws from large pools; another one at each node, so that nodes that place by
-  // themselves do not meet at the same back ends.
+  // `seed` initializes the sampling of large pools. It must differ between nodes, so that nodes
+  // that place independently do not pick the same back ends.
   Dispatcher(PlacementPolicy policy, std::string zone, RegionMap regions = {}, uint32_t seed = 1);
 
   BackendRegistry& Registry() { return registry_; }
   const BackendRegistry& Registry() const { return registry_; }
 
-  // A back end for this node's request, none of `tried`; nothing when no ready one is left. Every
-  // placement is to be ended by Finish(). Metered back ends, cold or limited ones, are chosen with
-  // the right to grant only.
+  // Chooses a back end for this node's request, other than those in `tried`; nothing when no ready
+  // one is left. Every placement must be ended by Finish(). `connected`: back ends to which this
+  // node has an idle connection. Metered back ends, those that are cold, rate-limited or brittle,
+  // are chosen only as far as `authority` permits.
   std::optional<Placement> Place(const RequestProfile& profile,
                                  const std::vector<BackendKey>& tried, TimePoint now,
                                  std::vector<BackendKey> connected = {},
-                                 const GrantAuthority& right = {});
+                                 const GrantAuthority& authority = {});
 
-  // The same for another node's request.
+  // As Place(), for another node's request.
   std::optional<Placement> PlaceFor(const Requester& requester, const RequestProfile& profile,
                                     const std::vector<BackendKey>& tried, TimePoint now,
-                                    const GrantAuthority& right = {});
+                                    const GrantAuthority& authority = {});
 
-  // Where only metered back ends are left, and none may get the request now: the time after which
-  // its caller is to come back. Each call is one such caller.
+  // When only metered back ends are left and none may get the request now: the time after which the
+  // caller is to retry; otherwise nothing. Each call schedules one caller.
   std::optional<Duration> MeteredWait(const RequestProfile& profile,
                                       const std::vector<BackendKey>& tried, TimePoint now,
-                                      const GrantAuthority& right);
+                                      const GrantAuthority& authority);
 
-  // This node's request, placed by `coordinator`, who knew the rate words on the back end that this
-  // node had read by `rate_notices_known`. Nothing when the back end isn't ready as far as this
-  // node knows, or has asked it to back off, or is metered without the coordinator knowing it, or
-  // the request's data residency doesn't allow it.
+  // Takes over the placement of this node's request by `coordinator`, which knew the rate notices
+  // on the back end that this node had read by `rate_notices_known`. Nothing when, as far as this
+  // node knows, the back end is not ready, has asked this node to back off, or is metered without
+  // the coordinator knowing it, or when the request's data residency or version does not allow the
+  // back end.
   std::optional<Placement> Adopt(const std::string& coordinator, const PlacementGrant& grant,
                                  const RequestProfile& profile, TimePoint rate_notices_known,
                                  TimePoint now);
 
-  // Asked right before a request is sent: the back end has not begun to leave since it was chosen,
-  // nor asked to back off, nor was its zone drained, nor has another incarnation taken its place,
-  // and the request's data residency, as it is in force now, allows it.
+  // Checked right before a request is sent. False when, since the choice, the back end has begun to
+  // leave, has asked to back off, had its zone drained or was replaced by another incarnation, or
+  // when the data residency of the request now in force does not allow it.
   bool MayReceive(BackendKey backend, const RequestProfile& profile, TimePoint now) const;
 
-  // What a back end said of itself in an answer to this node.
+  // Records the notices of a back end in an answer to this node.
   NoticeChange NoteNotice(BackendKey backend, const BackendNotice& notice, TimePoint now);
 
-  // Back ends that this node may not choose for the request: those tried, and those from which it
-  // backs off.
+  // Back ends that this node may not choose for the request: those in `tried`, and those from which
+  // it backs off.
   std::vector<BackendKey> ExcludedFor(const RequestProfile& profile,
                                       const std::vector<BackendKey>& tried, TimePoint now) const;
 
-  // The shortest back-off left among the ready back ends that the request may be served by.
+  // The shortest back-off left among the ready back ends that may serve the request.
   struct Backoffs {
-    bool all = false;  // there is one from each of them
+    bool all = false;  // every one of them has asked for a back-off
     std::optional<Duration> shortest;
   };
   Backoffs BackoffsFor(const RequestProfile& profile, TimePoint now);
 
-  // Ready back ends of the request's service that its data residency allows.
+  // Number of ready back ends of the request's service that its data residency and version allow.
   size_t ReadyFor(const RequestProfile& profile, TimePoint now);
 
-  // The same, and a request to a metered back end has a grant that still holds.
+  // As MayReceive(). Also false when the grant for a metered back end has expired, or when a back
+  // end placed without a grant has become cold or rate-limited since.
   bool MaySend(const Placement& placement, const RequestProfile& profile, TimePoint now) const;
 
-  // Some of the answer's body came; of a stream: an event.
+  // Records that a part of the answer's body has arrived; for a stream, one event.
   void Output(PlacementTicket ticket, TimePoint now);
 
   void Finish(PlacementTicket ticket, AttemptOutcome outcome, TimePoint now);
 
-  // Another node's request has ended, but how isn't known.
+  // Ends the placement of another node's request whose outcome is unknown.
   void Drop(PlacementTicket ticket, TimePoint now);
 
-  // Of the request's stream, as this node has measured them.
+  // The pauses in the request's stream as measured by this node.
   StreamPauses PausesOf(PlacementTicket ticket) const;
 
-  // What another node measured of the stream, which is about to end.
+  // Records the pauses that another node measured in the stream, which is about to end.
   void NotePauses(PlacementTicket ticket, const StreamPauses& pauses, TimePoint now);
 
-  // The engine has told that it holds these parts.
+  // Records that the engine has reported holding these parts.
   void NoteHeld(BackendKey backend, const std::vector<PromptPart>& parts, TimePoint now);
 
-  // The registry has changed: forgets what is kept of back ends that are gone.
+  // Forgets the state kept for back ends that are no longer in the registry. To be called after
+  // registry changes.
   void ForgetRemovedBackends();
 
-  // For all peers: this node's own requests, whoever placed them. Prefixes are told once.
+  // The digest for all peers. Covers this node's own requests, whichever node placed them. Each
+  // prefix is included in one digest only.
   DispatchDigest TakeDigest(TimePoint now);
 
-  // Prefixes that only one peer was told of: the next digest names them again.
+  // Queues prefixes for the next digest again, because only one peer has received them.
   void RequeuePrefixes(const std::vector<PrefixPlacement>& prefixes);
 
-  // The loads as `coordinator` is told them: without those that it placed and follows itself.
+  // The loads to send to `coordinator`: without requests that it placed and follows itself.
   std::vector<BackendLoadEntry> LoadsFor(const std::string& coordinator, TimePoint now) const;
 
-  // The nodes that placed requests of this node that have not ended.
+  // Nodes that placed requests of this node that have not ended.
   std::vector<std::string> Coordinators() const;
 
-  // What `node` tells of its load holds for `lifetime`.
+  // Applies a digest of `node`; its loads expire after `lifetime`.
   void ApplyDigest(std::string_view node, const DispatchDigest& digest, Duration lifetime,
                    TimePoint now);
 
-  // Requests that run or wait at the back end, of this node and its peers.
+  // Requests of this node and its peers that run or wait at the back end.
   int64_t RequestsAt(BackendKey backend) const { return loads_.Total(backend).requests; }
 
-  // It has failed lately: others are chosen before it.
+  // True when the back end is suspended after lost connections: others are preferred.
   bool IsSuspended(BackendKey backend, TimePoint now) const;
 
-  // Nodes heard lately, this one included.
+  // Number of nodes heard from recently, including this one.
   int64_t LiveNodes(TimePoint now) const { return loads_.PeersHeard(now) + 1; }
 
-  // The warm-up of each service, as the routing document tells it.
+  // Sets the warm-up of each service from the routing document.
   void SetWarmUps(const std::vector<ServiceRule>& services, const ColdBound& bound) {
     cold_.SetRules(services, bound);
   }
-  // Some of its back ends may be metered.
+  // True when some back ends of `service` may be metered.
   bool MayBeMetered(const std::string& service) const {
     return cold_.RuleOf(service) != nullptr || !registry_.Limits().IsEmpty() ||
            !registry_.Brittle().IsEmpty();
@@ -175,16 +181,16 @@
   // The cold back ends of `service` that may receive requests.
   std::vector<ColdBackEnd> ColdOf(const std::string& service, TimePoint now) const;
 
-  // Back ends of `service` that were lost and are to be asked now how long they stay cold, by a
-  // node with the right to grant to cold ones; `most` of them. Each question counts as a request.
+  // Lost back ends of `service`, at most `most`, that are to be queried now for how long they stay
+  // cold, by a node with the authority to grant to cold ones. Each query counts as a request.
   std::vector<Backend> TakeWarmthQueries(const std::string& service, size_t most, TimePoint now);
 
-  // Some may have to be asked.
+  // True when some lost back ends may have to be queried.
   bool HasLostBackEnds() const { return cold_.HasLosses(); }
 
-  // True when that ends or settles a spell after a loss.
-  bool NoteWarmth(BackendKey backend, const WarmthReport& answer, TimePoint now) {
-    return cold_.NoteWarmth(backend, answer, now);
+  // Returns true when the report decides the cold period after a loss.
+  bool NoteWarmth(BackendKey backend, const WarmthReport& report, TimePoint now) {
+    return cold_.NoteWarmth(backend, report, now);
   }
 
   // To be called about twice a second.
@@ -197,22 +203,22 @@
     bool is_light = false;
     bool is_generation = false;
     AttemptOrigin origin = AttemptOrigin::kOwn;
-    std::string placed_by;  // empty: this node
+    std::string placed_by;  // empty: this node chose
     int64_t outputs = 0;
     TimePoint begun;
     TimePoint first_output;
     TimePoint last_output;
-    Duration longest_pause{};  // between two outputs
+    Duration longest_pause{};  // between two consecutive outputs
     StreamMark risk;
     std::string service;
-    Duration pause_bound{};  // 0: none
-    double backlog_ms = 0;   // what its prompt added to the engine's backlog
+    Duration pause_bound{};  // 0: the stream has no bound
+    double backlog_ms = 0;   // prefill time that its prompt added to the engine's backlog
     double expected_ms = 0;
-    std::vector<uint64_t> shared_parts;  // of its prompt
+    std::vector<uint64_t> shared_parts;  // ids of the prompt parts that other requests may share
   };
 
   struct Estimate {
-    double loss = 0;  // expected, in requests
+    double loss = 0;  // expected cost, in requests that miss their goal
     double prefill_ms = 0;
     double first_output_ms = 0;
     int64_t held_tokens = 0;
@@ -220,30 +226,30 @@
     BackendLoad load;
   };
 
-  // A back end that the request may go to.
+  // A back end that the request may be sent to.
   struct Candidate {
     const Backend* backend = nullptr;
     bool for_light = false;
-    int64_t held_tokens = 0;  // of the request's prompt
-    bool is_trial = false;    // chosen before all others, to learn whether it is back
+    int64_t held_tokens = 0;  // tokens of the request's prompt held there
+    bool is_trial = false;    // chosen before all others, to learn whether the back end is back
   };
 
-  // A back end that has read most of the prompt and can hand it over within its region, to those of
-  // its version.
+  // The back end of one region and version that has processed the longest prefix of the prompt, and
+  // can transfer its KV cache to others of that region and version.
   struct Holder {
     const Backend* backend = nullptr;
     int64_t tokens = 0;
   };
 
-  // What all candidates for one request are weighed against.
+  // Inputs that are common to all candidates for one request.
   struct PlacementView {
     const Requester* requester = nullptr;
     std::vector<Candidate> candidates;
-    absl::InlinedVector<Holder, 3> holders;  // one for each region and version that has some
-    int64_t known_tokens = 0;                // read or being read at one engine, at most
-    // Until one of the metered back ends that were left out may be chosen.
+    absl::InlinedVector<Holder, 3> holders;  // one per region and version with a holder
+    int64_t known_tokens = 0;  // longest prefix that any engine has processed or is processing
+    // Shortest time until a metered back end that was left out may be chosen.
     std::optional<Duration> metered_wait;
-    double limited_per_s = 0;  // what this node may grant to limited ones that were left out
+    double limited_per_s = 0;  // rate that this node may grant to limited ones left out
   };
 
   void RemoveMissing(TimePoint now);
@@ -251,28 +257,32 @@
                                         const RequestProfile& profile, TimePoint now);
   PlacementView View(const Requester& requester, const RequestProfile& profile,
                      const std::vector<BackendKey>& tried, TimePoint now,
-                     const GrantAuthority& right);
+                     const GrantAuthority& authority);
   PlacementView ViewOf(const std::vector<PoolMember>& members, const RequestProfile& profile,
                        const std::vector<BackendKey>& tried, TimePoint now,
-                       const GrantAuthority& right) const;
-  Duration WaitForCold(const Backend& backend, TimePoint now, const GrantAuthority& right) const;
-  Duration WaitForLimited(const Backend& backend, TimePoint now, const GrantAuthority& right) const;
-  Duration WaitForBrittle(const Backend& backend, TimePoint now, const GrantAuthority& right) const;
-  Duration WaitForMetered(const Backend& backend, TimePoint now, const GrantAuthority& right) const;
-  double LimitedRate(const Backend& backend, const GrantAuthority& right) const;
+                       const GrantAuthority& authority) const;
+  Duration WaitForCold(const Backend& backend, TimePoint now,
+                       const GrantAuthority& authority) const;
+  Duration WaitForLimited(const Backend& backend, TimePoint now,
+                          const GrantAuthority& authority) const;
+  Duration WaitForBrittle(const Backend& backend, TimePoint now,
+                          const GrantAuthority& authority) const;
+  Duration WaitForMetered(const Backend& backend, TimePoint now,
+                          const GrantAuthority& authority) const;
+  double LimitedRate(const Backend& backend, const GrantAuthority& authority) const;
   std::optional<ColdPeriod> ColdPeriodOf(const Backend& backend, TimePoint now) const;
   bool IsReportedCold(const Backend& backend, TimePoint now) const;
   bool IsMetered(const Backend& backend, TimePoint now) const;
-  bool HasLaterRateLimit(BackendKey backend, TimePoint words_known) const;
-  void NoteMetered(Placement* placement, TimePoint now) const;
+  bool HasLaterRateLimit(BackendKey backend, TimePoint notices_known) const;
+  void SetSendDeadline(Placement* placement, TimePoint now) const;
   void FindHolders(const RequestProfile& profile, const std::vector<PoolMember>& members,
                    const RegionSet& allowed, TimePoint now, PlacementView* view) const;
   static void NoteHolder(const Holder& holder, PlacementView* view);
-  bool MayShareMemory(const Backend& left, const Backend& right) const;
+  bool MayShareMemory(const Backend& from, const Backend& to) const;
   Holder HolderFor(const Backend& backend, const PlacementView& view) const;
   std::optional<Placement> Choose(const Requester& requester, const RequestProfile& profile,
                                   const std::vector<BackendKey>& tried, TimePoint now,
-                                  const GrantAuthority& right);
+                                  const GrantAuthority& authority);
   Estimate EstimatePrompt(const RequestProfile& profile, const Candidate& candidate,
                           const PlacementView& view) const;
   Estimate EstimateGeneration(const RequestProfile& profile, const Candidate& candidate,
@@ -280,18 +290,18 @@
   Estimate EstimatePlain(const Candidate& candidate, const PlacementView& view,
                          TimePoint now) const;
   double PrefillMillis(int64_t held_tokens, int64_t prompt_tokens) const;
-  double WayLoss(const Backend& backend, const Requester& requester, TimePoint now) const;
+  double ConnectionLoss(const Backend& backend, const Requester& requester, TimePoint now) const;
   double BacklogMillis(BackendKey backend, TimePoint now) const;
   double SlownessOf(BackendKey backend, TimePoint now) const;
-  double BreakChance(BackendKey backend, double backlog_ms, double prefill_ms,
-                     Duration bound) const;
-  double LossOfStreams(const Backend& backend, double backlog_ms, double prefill_ms) const;
+  double PauseBreakProbability(BackendKey backend, double backlog_ms, double prefill_ms,
+                               Duration bound) const;
+  double StreamLoss(const Backend& backend, double backlog_ms, double prefill_ms) const;
   double OwnLateProbability(const RequestProfile& profile, const Backend& backend,
                             double first_output_ms, double backlog_ms, TimePoint now) const;
   double WaitForSlotMillis(const RequestProfile& profile, const Backend& backend,
                            const BackendLoad& load) const;
   double CrowdingLoss(const Backend& backend, const BackendLoad& load) const;
-  double LossElsewhere(const RequestProfile& profile, const Candidate& candidate,
+  double PartitionLoss(const RequestProfile& profile, const Candidate& candidate,
                        double prefill_ms) const;
   bool IsOff(Mechanism mechanism) const { return policy_.disabled.Has(mechanism); }
   bool IsDisturbing(BackendKey backend, double prefill_ms) const;
@@ -311,7 +321,7 @@
   ColdBackEnds cold_;
   GrantLimiter grants_;
   BrittleBackEnds brittle_;
-  std::unordered_map<std::string, RetrySchedule> returns_;  // by service
+  std::unordered_map<std::string, RetrySchedule> retry_schedules_;  // by service name
   PauseModel pauses_;
   StreamRisk risk_;
   PrefillBacklog backlog_;
@@ -320,7 +330,7 @@
   PrefixDirectory prefixes_;
   ServiceWorkView work_;
   ServicePools pools_;
-  std::minstd_rand draws_;  // of members of large pools
+  std::minstd_rand draws_;  // samples members of large pools
   std::unordered_map<PlacementTicket, Running> running_;
   std::vector<PrefixPlacement> new_prefixes_;
   PlacementTicket next_ticket_ = 1;
--- a/libs/dispatch/include/cartsail/dispatch/grant_authority.h
+++ b/libs/dispatch/include/cartsail/dispatch/grant_authority.h
@@ -1,4 +1,5 @@
-// Which node may grant requests to metered back ends, and how much of what they bear. Pure.
+// Which node may grant requests to metered back ends, and which share of what they accept. Performs
+// no I/O.
 #pragma once
 
 #include <cstdint>
@@ -7,26 +8,27 @@
 
 // The fleet as one node sees it.
 struct FleetView {
-  bool is_first = false;    // in rank as coordinator of the service
-  bool is_settled = false;  // up for long enough that it knows the others and they know it
-  int64_t live = 0;         // other nodes that it holds for live
-  int64_t known = 0;        // other hosts that it knows of, lost ones included
+  bool is_first = false;    // first in rank among the coordinators of the service
+  bool is_settled = false;  // up long enough for it and the other nodes to know each other
+  int64_t live = 0;         // other nodes that it considers live
+  int64_t known = 0;        // other nodes that it knows of, including lost ones
 };
 
 struct GrantAuthority {
   bool to_cold = false;
-  double limited_share = 0;  // of the rate that a limited back end named; 0: it may grant nothing
+  double limited_share = 0;  // fraction of a rate-limited back end's rate; 0: none may be granted
 };
 
-// Only the first coordinator has one. A node that knows of no other is the whole fleet.
+// Only the first coordinator has any authority. A node that knows of no other node is the whole
+// fleet.
 //
-// Cold back ends: only one that sees a majority. Of two sides of a fleet that is cut in parts, one
-// has it at most; without it the parts together would use more than the back end bears.
+// Cold back ends require a majority: in a partitioned fleet at most one side has the authority.
+// Otherwise the sides together would exceed what the back end accepts.
 //
-// Limited back ends: each part has the share of its nodes among all that it knows of, so that the
-// parts together use the rate once. A back end is cold for seconds, but may be limited for long:
-// with the majority alone a service whose back ends are all limited would be refused for the 5
-// minutes for which lost nodes are counted.
+// For rate-limited back ends each side of a partition gets the fraction of its nodes among all that
+// it knows of, so that the sides together use the rate once. A back end is cold for seconds, but
+// may be rate-limited for long: requiring a majority would refuse all requests to a service whose
+// back ends are all rate-limited for the 5 minutes for which lost nodes are counted.
 GrantAuthority GrantAuthorityOf(const FleetView& view);
 
 }  // namespace cartsail
--- a/libs/dispatch/include/cartsail/dispatch/grant_book.h
+++ b/libs/dispatch/include/cartsail/dispatch/grant_book.h
@@ -1,5 +1,5 @@
-// The placements that a coordinator made for other nodes and that have not ended, by node and the
-// number that the node gave its question. Messages may be lost or come twice. Pure.
+// The outstanding placements that a coordinator made for other nodes, by node and by the id that
+// the node gave its query. Tolerates lost and duplicated messages. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -23,23 +23,24 @@
 
 class GrantBook {
  public:
-  // nullptr when there is none: a question that comes twice gets the same grant.
-  const OutstandingGrant* Find(const std::string& node, PlacementQueryId question) const;
+  // The outstanding grant for a query, or nullptr. A duplicated query gets the same grant.
+  const OutstandingGrant* Find(const std::string& node, PlacementQueryId query) const;
 
-  void Add(const std::string& node, PlacementQueryId question, const OutstandingGrant& grant);
+  void Add(const std::string& node, PlacementQueryId query, const OutstandingGrant& grant);
 
-  // The request has ended.
-  std::optional<PlacementTicket> Take(const std::string& node, PlacementQueryId question);
+  // Removes the grant of a request that has ended; nothing when there is none.
+  std::optional<PlacementTicket> Take(const std::string& node, PlacementQueryId query);
 
-  // `node` tells all its requests that have not ended. Returns those that ended without its word
-  // having come; grants younger than `kGraceForNew` are kept, since they may have crossed the list.
+  // Compares the grants with `live`, all queries of `node` whose requests have not ended. Removes
+  // and returns the others: their requests ended, but the message was lost. Grants younger than
+  // `kGraceForNew` are kept, because they may have crossed the list in transit.
   std::vector<PlacementTicket> Reconcile(const std::string& node,
                                          const std::vector<PlacementQueryId>& live, TimePoint now);
 
-  // Something came from `node`.
+  // Records that a message from `node` arrived.
   void Heard(const std::string& node, TimePoint now);
 
-  // Takes out all of nodes that have not been heard for `kSilence`.
+  // Removes and returns all grants of nodes that have not been heard from for `kSilence`.
   std::vector<PlacementTicket> TakeFromSilentNodes(TimePoint now);
 
   size_t Size() const;
--- a/libs/dispatch/include/cartsail/dispatch/load_ledger.h
+++ b/libs/dispatch/include/cartsail/dispatch/load_ledger.h
@@ -1,5 +1,5 @@
-// Work outstanding at each back end: what this node follows itself, counted exactly, and that of
-// its peers as they last told it. Pure.
+// Outstanding work at each back end: the requests that this node follows, counted exactly, and
+// those of its peers as last reported. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +13,13 @@
 
 namespace cartsail {
 
-// Requests at one back end that have not ended, and how those of the last seconds ended.
+// Unfinished requests at one back end, and the outcomes of recent ones.
 struct BackendLoad {
-  double prefill_ms = 0;       // expected time to read the prompts that wait for their first output
+  double prefill_ms = 0;       // expected prefill time of requests without first output
   int64_t requests = 0;        // all
-  int64_t light_requests = 0;  // of these, those that disturb no stream (engine_partition.h)
-  double attempts = 0;         // of the last seconds, fading
-  double failures = 0;         // of these, those that failed
+  int64_t light_requests = 0;  // of `requests`, the light ones (see engine_partition.h)
+  double attempts = 0;         // of the last seconds, with exponential decay
+  double failures = 0;         // of `attempts`, the failed ones
 
   BackendLoad& operator+=(const BackendLoad& other);
   BackendLoad& operator-=(const BackendLoad& other);
@@ -28,7 +28,7 @@
 struct BackendLoadEntry {
   BackendKey backend = 0;
   BackendLoad load;
-  double least_pause_ms = 0;  // between events of a stream there, as measured; 0: unknown
+  double least_pause_ms = 0;  // measured time between two events of a stream; 0: unknown
 };
 
 class LoadLedger {
@@ -37,22 +37,22 @@
   void FirstOutput(BackendKey backend, double prefill_ms);
   void End(BackendKey backend, bool is_light);
 
-  // Replaces all that `node` told before; forgotten at `until`.
+  // Replaces the previous report of `node`; expires at `until`.
   void SetPeer(std::string_view node, const std::vector<BackendLoadEntry>& loads, TimePoint until);
 
-  // Forgets what peers told for a time that is over. To be called before Total().
+  // Forgets expired reports of peers. To be called before Total().
   void ExpirePeers(TimePoint now);
 
-  // Followed by this node.
+  // Load that this node follows itself.
   BackendLoad Own(BackendKey backend) const;
 
-  // Of this node and its peers.
+  // Load of this node and its peers.
   BackendLoad Total(BackendKey backend) const;
 
-  // What the peers told: of these only `attempts` and `failures` are of use.
+  // Load reported by the peers.
   BackendLoad OfPeers(BackendKey backend) const;
 
-  // Peers heard within the lifetime.
+  // Number of peers whose report has not expired.
   int64_t PeersHeard(TimePoint now) const;
 
  private:
@@ -63,10 +63,10 @@
     Loads loads;
   };
 
-  // The sum of what peers told, kept as digests come and go.
+  // Sum of the reports of all peers, updated as digests arrive and expire.
   struct PeerSum {
     BackendLoad load;
-    int64_t peers = 0;  // that told of the back end
+    int64_t peers = 0;  // number of peers that reported the back end
   };
 
   void Subtract(const Loads& loads);
--- a/libs/dispatch/include/cartsail/dispatch/mechanism.h
+++ b/libs/dispatch/include/cartsail/dispatch/mechanism.h
@@ -1,5 +1,5 @@
-// The mechanisms of placement and recovery that can be switched off one by one, to measure what
-// each is worth (docs/ABLATION.md). All are on in production. Pure.
+// The mechanisms of placement and recovery that can be disabled individually, to measure the effect
+// of each (docs/ABLATION.md). All are enabled in production. Performs no I/O.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -11,25 +11,25 @@
 namespace cartsail {
 
 enum class Mechanism {
-  kPrefixAffinity,   // engines that hold a part of the prompt are preferred
-  kMemoryMoves,      // prompt memory is taken over from another engine
-  kReadingPause,     // pauses under reading are learnt for each engine
-  kStreamRisk,       // a prompt costs what it does to the streams beside it
-  kFutureBreaks,     // a stream avoids engines where streams were put beyond their pauses lately
-  kDivision,         // engines are set aside for light requests
-  kPace,             // first outputs later than expected make an engine count as slow
-  kFailureShare,     // recent failures weigh against a back end
-  kSuspension,       // a back end that was lost is left out for a while
+  kPrefixAffinity,   // engines that hold a prefix of the prompt are preferred
+  kMemoryMoves,      // KV cache is transferred from another engine
+  kReadingPause,     // stream pauses during prefill are learned for each engine
+  kStreamRisk,       // a prompt's cost includes its effect on concurrent streams
+  kFutureBreaks,     // a stream avoids engines where pause bounds were recently broken
+  kDivision,         // engines are reserved for light requests
+  kPace,             // late first outputs make an engine count as slow
+  kFailureShare,     // recent failures count against a back end
+  kSuspension,       // a lost back end is excluded for a while
   kIdleConnections,  // back ends with an idle connection are preferred
-  kCacheInventory,   // a new coordinator asks engines what they hold
+  kCacheInventory,   // a new coordinator queries engines for their cached prefixes
 };
 
-inline constexpr size_t kMechanisms = 11;  // the number of them
+inline constexpr size_t kMechanisms = 11;  // number of enumerators
 
-// As written in settings: prefix_affinity and so on.
+// The name used in settings, such as prefix_affinity.
 std::string_view MechanismName(Mechanism mechanism);
 
-// A set of mechanisms that are off.
+// The set of disabled mechanisms.
 class DisabledMechanisms {
  public:
   bool Has(Mechanism mechanism) const { return set_.test(static_cast<size_t>(mechanism)); }
@@ -39,7 +39,7 @@
   // Their names, joined by commas.
   std::string ToString() const;
 
-  // Reads what ToString() writes; names that no mechanism has are refused.
+  // Parses the format of ToString(). Unknown names are an error.
   static absl::StatusOr<DisabledMechanisms> Parse(std::string_view text);
 
  private:
--- a/libs/dispatch/include/cartsail/dispatch/pause_model.h
+++ b/libs/dispatch/include/cartsail/dispatch/pause_model.h
@@ -1,17 +1,17 @@
-// How long the pauses between the events of a stream are at each engine, learnt from streams that
-// ended. Pure.
+// Predicts the pauses between the events of a stream at each engine, learned from completed
+// streams. Performs no I/O.
 //
-// An engine with continuous batching reads a long prompt in chunks, one chunk in each step, and
-// makes one token for every running stream in the same step (chunked prefill: Agrawal et al.,
+// An engine with continuous batching processes a long prompt in chunks, one chunk in each step, and
+// generates one token for every running stream in the same step (chunked prefill: Agrawal et al.,
 // "Taming Throughput-Latency Tradeoff in LLM Inference with Sarathi-Serve", OSDI 2024). An event
-// holds a fixed number of tokens, so of any backlog of reading only as much falls between two
-// events as is read in that many steps:
+// holds a fixed number of tokens, so of any prefill backlog only as much falls between two events
+// as is processed in that many steps:
 //
 //     pause(backlog) = base + min(backlog, between)
 //
-// `base` is the pause without reading beside the stream, `between` the most reading that falls
-// between two events. Both are measured for each engine; one that is not known yet takes those of
-// the other engines.
+// `base` is the pause without concurrent prefill, `between` the most prefill that falls between two
+// events. Both are measured for each engine; an engine without measurements uses those of the other
+// engines.
 #pragma once
 
 #include <functional>
@@ -24,55 +24,55 @@
 
 // The pauses of one stream, in milliseconds.
 struct StreamPauses {
-  double mean_ms = 0;     // 0: too few events to tell
+  double mean_ms = 0;     // 0: too few events to measure
   double longest_ms = 0;  // 0: unknown
 };
 
 class PauseModel {
  public:
-  // A stream at `backend` has ended. `backlog_ms`: the most reading that waited there at one moment
-  // of its life, as estimated.
+  // Records a stream at `backend` that has ended. `backlog_ms`: the estimated peak of the prefill
+  // backlog there during the stream.
   void Note(BackendKey backend, const StreamPauses& pauses, double backlog_ms);
 
-  // A peer's measure of the base pause.
+  // Records a peer's measurement of the base pause; 0: the peer has none.
   void NotePeerBase(BackendKey backend, double base_ms);
 
-  // The mean pause of the engine's quickest recent streams. 0: unknown.
+  // Mean pause of the engine's fastest recent streams; 0: unknown.
   double BasePause(BackendKey backend) const;
 
-  // The least base pause of all engines; 0: unknown.
+  // Smallest base pause of all engines; 0: unknown.
   double FastestBase() const;
 
-  // The pause while long prompts are read; 0: unknown.
+  // Pause during the prefill of long prompts; 0: unknown.
   double ReadingPause(BackendKey backend) const;
 
-  // The longest pause to expect of a stream that lives through `backlog_ms` of reading.
+  // Expected longest pause of a stream that experiences a prefill backlog of `backlog_ms`.
   double ExpectedPause(BackendKey backend, double backlog_ms) const;
 
-  // The chance, 0 to 1, that the longest pause is then over `bound`.
+  // Probability that the longest pause then exceeds `bound`; 0 where `bound` is 0.
   double BreakProbability(BackendKey backend, double backlog_ms, Duration bound) const;
 
-  // The chance that `prefill_ms` more puts a stream beyond `bound` which the backlog alone would
-  // not.
+  // Probability that a further `prefill_ms` makes a stream exceed `bound` that would stay within it
+  // with the backlog alone.
   double AddedBreakProbability(BackendKey backend, double backlog_ms, double prefill_ms,
                                Duration bound) const;
 
-  // Forgets all engines but those that `is_known` holds.
+  // Forgets every engine for which `is_known` returns false.
   void ForgetUnless(const std::function<bool(BackendKey backend)>& is_known);
 
  private:
   struct Record {
     double base_ms = 0;
     double between_ms = 0;
-    double reading_streams = 0;  // that told of `between_ms`
+    double reading_streams = 0;  // streams from which `between_ms` was learned
   };
 
   void NoteBase(double mean_ms, Record* record);
   void NoteReading(double longest_ms, double backlog_ms, Record* record);
-  // The figures of one engine, with those over all engines where its own are not known.
+  // The parameters of one engine; those not measured are typical values of all engines.
   struct Pace {
     double base_ms = 0;
-    double between_ms = 0;  // 0: unknown, not bounded
+    double between_ms = 0;  // 0: unknown, taken as unbounded
 
     double Pause(double backlog_ms) const;
     double BreakProbability(double backlog_ms, double bound_ms) const;
@@ -84,8 +84,8 @@
   double BetweenOrTypical(const Record& record) const;
 
   std::unordered_map<BackendKey, Record> records_;
-  double typical_base_ms_ = 0;     // over all engines
-  double typical_between_ms_ = 0;  // the same
+  double typical_base_ms_ = 0;     // moving average over all engines
+  double typical_between_ms_ = 0;  // as above
 };
 
 }  // namespace cartsail
--- a/libs/dispatch/include/cartsail/dispatch/placement_policy.h
+++ b/libs/dispatch/include/cartsail/dispatch/placement_policy.h
@@ -1,5 +1,5 @@
-// The figures by which placement weighs back ends against each other, as one plain struct. Every
-// loss is counted in requests that miss their goal: 1 is one request lost or late. Pure.
+// The parameters of the placement cost model. Losses are measured in requests that miss their goal:
+// 1 is one request that is lost or late. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,36 +11,38 @@
 namespace cartsail {
 
 struct PlacementPolicy {
-  DisabledMechanisms disabled;  // for experiments
+  DisabledMechanisms disabled;  // for experiments only
 
-  // How engines are expected to work until measured: figures chosen on the first two deployments.
-  // BackendHealth::Slowness() corrects them for each engine.
-  double read_tokens_per_ms = 60;         // prompt tokens that an engine reads in a millisecond
-  double attention_ms_per_million = 0.3;  // for each million of (new token, earlier token) pairs
-  double move_tokens_per_ms = 150;        // prompt memory taken over from another engine
+  // Assumed engine performance until measured, chosen on the first two deployments.
+  // BackendHealth::Slowness() corrects these values for each engine.
+  double read_tokens_per_ms = 60;         // prefill rate of an engine
+  double attention_ms_per_million = 0.3;  // per million (new token, earlier token) pairs
+  double move_tokens_per_ms = 150;        // KV cache transfer rate between engines
   double move_setup_ms = 4;
-  double plain_request_ms = 60;            // work of a plain service's request
-  Duration stream_life = seconds(2);       // of a stream, until some have ended
-  Duration prefix_lifetime = seconds(20);  // an engine drops parts of prompts that rest for longer
+  double plain_request_ms = 60;       // service time of a plain service's request
+  Duration stream_life = seconds(2);  // assumed run time of a stream until some have ended
+  // an engine evicts prompt parts that are unused for longer
+  Duration prefix_lifetime = seconds(20);
 
-  // Spread of the time to the first output around the expected time, as a share of the goal.
+  // Spread of the time to first output around the expected time, as a fraction of the goal.
   double first_output_spread = 0.2;
-  double loss_per_ms = 0.00025;      // of waiting, beside what it does to the goal
-  double loss_per_stream = 0.00075;  // each running request slows the others a little
-  // At an engine all slots of which are taken; it falls with the square of the share taken. Each
-  // running request slows the others, and all are lost with the engine.
+  double loss_per_ms =
+      0.00025;  // per millisecond of waiting, in addition to the effect on the goal
+  double loss_per_stream = 0.00075;  // each running request slows the others slightly
+  // Loss at an engine with all slots taken; proportional to the square of the fraction taken. Each
+  // running request slows the others, and all are lost when the engine fails.
   double crowding_loss = 0.2;
-  double loss_per_reread_token = 0.000125;  // read although another engine holds it
-  double loss_per_moved_token = 0.000007;   // taken over from another engine
-  double new_connection_loss = 0.01;        // a back end to which the node has no idle connection
+  double loss_per_reread_token = 0.000125;  // processed again although another engine holds it
+  double loss_per_moved_token = 0.000007;   // transferred from another engine
+  double new_connection_loss = 0.01;        // no idle connection to the back end
   double other_zone_loss = 0.00025;
 
   PartitionPolicy partition;
-  // A prompt that is sure to break pauses, at an engine set aside for sensitive streams; a stream
-  // whose pauses reading breaks for sure, at another engine.
+  // Loss of a prompt that is certain to break pauses at an engine reserved for sensitive streams,
+  // and of a stream whose pauses are certain to be broken by prefill at another engine.
   double heavy_elsewhere_loss = 0.75;
   double sensitive_elsewhere_loss = 0.125;
-  // Reading that waits at engines under load, by which streams count as sensitive or not.
+  // Assumed prefill backlog at engines under load, by which streams are classified as sensitive.
   double steady_backlog_ms = 500;
 };
 
--- a/libs/dispatch/include/cartsail/dispatch/prefill_backlog.h
+++ b/libs/dispatch/include/cartsail/dispatch/prefill_backlog.h
@@ -1,9 +1,9 @@
-// How long each engine will still read the prompts that were placed there. Pure.
+// Estimates the remaining prefill time at each engine. Performs no I/O.
 //
-// Prompts are read one after the other, so the backlog grows with each one placed and shrinks with
-// time; it is never more than the prompts that have not given their first output take. Where their
-// first outputs are overdue, the engine is slower than expected or silent, and the backlog grows
-// with the time they are overdue.
+// Prompts are processed one after the other, so the backlog grows with each prompt placed and
+// shrinks with time. It never exceeds the prefill time of the prompts without first output. When
+// their first outputs are overdue, the engine is slower than expected or does not respond, and the
+// backlog grows with the time by which they are overdue.
 #pragma once
 
 #include <deque>
@@ -17,20 +17,20 @@
 
 class PrefillBacklog {
  public:
-  // A prompt that takes `prefill_ms` to read was placed.
+  // Records that a prompt with a prefill time of `prefill_ms` was placed.
   void Add(BackendKey backend, double prefill_ms, TimePoint now);
 
-  // It has been read, or its request has ended.
+  // Records that the prompt has been processed, or that its request has ended.
   void Remove(BackendKey backend, double prefill_ms, TimePoint now);
 
-  // Reading left, in milliseconds.
+  // Remaining prefill time in milliseconds.
   double Millis(BackendKey backend, TimePoint now) const;
 
-  // The most that was left at one moment since `since` and was read by `until`, as far as is
-  // remembered.
+  // Highest remembered backlog, in milliseconds, that arose at or after `since` and was processed
+  // by `until`; 0 when there is none.
   double PeakMillisBetween(BackendKey backend, TimePoint since, TimePoint until) const;
 
-  // Forgets all engines but those that `is_known` holds.
+  // Forgets every engine for which `is_known` returns false.
   void ForgetUnless(const std::function<bool(BackendKey backend)>& is_known);
 
  private:
@@ -40,10 +40,10 @@
   };
 
   struct Queue {
-    int64_t prompts = 0;   // without first output
-    double unread_ms = 0;  // to read these
+    int64_t prompts = 0;   // prompts without first output
+    double unread_ms = 0;  // their total prefill time
     TimePoint busy_until;
-    std::deque<Peak> peaks;  // falling: a later higher one takes the place of those before it
+    std::deque<Peak> peaks;  // strictly decreasing; a higher one removes those before it
   };
 
   static double LeftMillis(const Queue& queue, TimePoint now);
--- a/libs/dispatch/include/cartsail/dispatch/prefix_directory.h
+++ b/libs/dispatch/include/cartsail/dispatch/prefix_directory.h
@@ -1,5 +1,6 @@
-// Which back ends hold which parts of prompts, as far as this node and its peers have placed
-// requests there. An estimate: back ends drop parts that nobody used for long. Pure.
+// Estimates which back ends hold which prompt parts in their KV cache, from the placements of this
+// node and its peers. An estimate only, since back ends evict parts that are unused for long.
+// Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,33 +17,33 @@
 
 class PrefixDirectory {
  public:
-  // A part that nobody used for `lifetime` is taken for dropped.
+  // A part that was not used for `lifetime` counts as evicted.
   explicit PrefixDirectory(Duration lifetime) : lifetime_(lifetime) {}
 
-  // `backend` reads or has read the part.
+  // Records that `backend` is processing or has processed the part.
   void Note(uint64_t part, BackendKey backend, TimePoint now);
 
-  // It has read the part to the end, and can hand it over.
+  // Records that `backend` has processed the whole part and can transfer it.
   void NoteRead(uint64_t part, BackendKey backend);
 
-  // Tokens at the start of `parts` that `backend` holds or is reading.
+  // Tokens of the longest prefix of `parts` that `backend` holds or is processing.
   int64_t HeldTokens(const std::vector<PromptPart>& parts, BackendKey backend, TimePoint now) const;
 
-  // Tokens at the start of `parts` that `backend` has read.
+  // Tokens of the longest prefix of `parts` that `backend` has completely processed.
   int64_t ReadTokens(const std::vector<PromptPart>& parts, BackendKey backend, TimePoint now) const;
 
-  // True when some back end holds the part.
+  // True when any back end holds the part.
   bool AnyHolds(uint64_t part, TimePoint now) const;
 
-  // Back ends that hold or read shared parts of the prompt, those of longer prefixes first; `most`
-  // at most. Looks at no more than `most` holders of each part.
+  // Back ends that hold or are processing parts of the prompt, those with longer prefixes first, at
+  // most `most`. Examines at most `most` holders of each part.
   std::vector<BackendKey> HoldersOf(const std::vector<PromptPart>& parts, size_t most,
                                     TimePoint now) const;
 
-  // Back ends that are gone hold nothing any more.
+  // Forgets every back end for which `is_known` returns false.
   void ForgetUnless(const std::function<bool(BackendKey)>& is_known);
 
-  // Drops what has expired. To be called about once a second.
+  // Forgets expired parts. To be called about once a second.
   void Expire(TimePoint now);
 
   size_t Size() const { return holders_.size(); }
@@ -55,14 +56,14 @@
 
   using Holders = std::unordered_map<BackendKey, Holder>;
 
-  // nullptr when it does not hold the part any more.
+  // The unexpired record of `backend` holding the part, or nullptr.
   const Holder* Find(uint64_t part, BackendKey backend, TimePoint now) const;
 
   void Forget(BackendKey backend);
 
   Duration lifetime_;
-  std::unordered_map<uint64_t, Holders> holders_;                          // by part
-  std::unordered_map<BackendKey, std::unordered_set<uint64_t>> parts_of_;  // those in `holders_`
+  std::unordered_map<uint64_t, Holders> holders_;                          // by part id
+  std::unordered_map<BackendKey, std::unordered_set<uint64_t>> parts_of_;  // inverse of `holders_`
 };
 
 }  // namespace cartsail
--- a/libs/dispatch/include/cartsail/dispatch/rate_limits.h
+++ b/libs/dispatch/include/cartsail/dispatch/rate_limits.h
@@ -1,6 +1,6 @@
-// The rates that back ends have named in answers: requests a second that they take from all nodes
-// together. Kept by incarnation. What nodes read at different times is told between them and comes
-// together in any order. Pure.
+// The rate limits that back ends advertise in answers: requests a second that they accept from all
+// nodes together. Kept by incarnation. Nodes exchange the limits that they have read; these may
+// arrive in any order. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,57 +14,60 @@
 
 namespace cartsail {
 
-// What the answer of a back end says of the rate that it takes.
+// What one answer of a back end says about the rate that it accepts.
 struct RateNotice {
-  std::optional<double> per_s;  // nothing: it named none
-  TimePoint asked{};            // when the request was sent that it answers; long past: unknown
-  NoticeTime read;              // by this node, or by another one that told of it
+  std::optional<double> per_s;  // nothing: the answer names no rate
+  TimePoint asked{};            // when the answered request was sent; long past: unknown
+  NoticeTime read;              // read by this node, or by another node that forwarded it
 };
 
-// The same of a named back end, as nodes tell it each other.
+// A rate notice with its back end, as exchanged between nodes.
 struct BackendRateNotice {
   BackendKey backend = 0;
   RateNotice notice;
 };
 
-// A rate that is in force.
+// A rate limit in force.
 struct RateLimit {
   double per_s = 0;
-  TimePoint first_named;  // by this incarnation, also where it named none since
-  TimePoint read;         // the answer that named it last
+  TimePoint first_named;  // first time that this incarnation advertised a rate
+  TimePoint read;         // when the answer that named the rate was read
 };
 
 enum class RateChange { kNone, kNamed, kChanged, kWithdrawn };
 
 class RateLimits {
  public:
-  // A smaller rate than before holds as soon as it is read. A larger one, or none, holds only when
-  // its answer belongs to a request that was sent after the smaller one was read: answers pass each
-  // other, and one that was made before the back end named its rate may come after it.
-  RateChange Note(BackendKey backend, const RateNotice& word);
+  // Records a rate notice. A rate smaller than before applies as soon as it is read. A larger rate,
+  // or none, applies only when its request was sent after the smaller rate was read: answers can be
+  // reordered, and one that was generated before the back end advertised its rate may arrive after
+  // it.
+  RateChange Note(BackendKey backend, const RateNotice& notice);
 
-  // Nothing where the back end takes any rate.
+  // The limit in force; nothing when the back end accepts any rate.
   std::optional<RateLimit> Of(BackendKey backend) const;
 
-  // It took its rate back, and other nodes are still told so.
+  // True when the back end withdrew its rate recently, so that the withdrawal is still sent to
+  // other nodes.
   bool WasWithdrawnRecently(BackendKey backend, TimePoint now) const;
 
-  // What is known of the back end, be it that it named none last.
-  bool Knows(BackendKey backend) const { return words_.contains(backend); }
+  // True when a notice on the back end is kept, even one that names no rate.
+  bool Knows(BackendKey backend) const { return notices_.contains(backend); }
 
-  // None is limited.
+  // True when no back end has a limit.
   bool IsEmpty() const { return limited_ == 0; }
 
-  // As BackendNotices::CarryToSuccessor(). What may be of either is passed on: it is corrected by
-  // the next answer.
+  // As BackendNotices::CarryToSuccessor(). A rate that either incarnation may have advertised is
+  // transferred, since the next answer corrects it.
   void CarryToSuccessor(BackendKey earlier, BackendKey later, std::chrono::milliseconds start);
 
-  // The latest words on those of which `is_wanted`, the newest first, `most` of them: rates in
-  // force, and those withdrawn within kWithdrawnTold.
+  // The newest notices on back ends for which `is_wanted` returns true, newest first, at most
+  // `most`: rates in force, and those withdrawn within kWithdrawnTold.
   std::vector<BackendRateNotice> Latest(const std::function<bool(BackendKey)>& is_wanted,
                                         size_t most, TimePoint now) const;
 
-  // Forgets back ends that are not known and were not heard of for kForgottenAfter.
+  // Forgets back ends for which `is_known` returns false and whose last notice was read more than
+  // kForgottenAfter ago.
   void Expire(const std::function<bool(BackendKey)>& is_known, TimePoint now);
 
   static constexpr Duration kWithdrawnTold = seconds(60);
@@ -72,13 +75,13 @@
 
  private:
   struct Known {
-    RateNotice notice;  // the one in force
+    RateNotice notice;  // notice in force
     TimePoint first_named;
   };
 
-  void Keep(BackendKey backend, const RateNotice& word, Known* known);
+  void Keep(BackendKey backend, const RateNotice& notice, Known* known);
 
-  std::unordered_map<BackendKey, Known> words_;
+  std::unordered_map<BackendKey, Known> notices_;
   size_t limited_ = 0;
 };
 
--- a/libs/dispatch/include/cartsail/dispatch/region_map.h
+++ b/libs/dispatch/include/cartsail/dispatch/region_map.h
@@ -1,5 +1,5 @@
-// Which region each zone lies in, and which regions a request's data residency allows. Regions are
-// numbers here, so that placement compares no names. Pure.
+// Maps zones to regions, and a request's data residency to the regions that it allows. Regions are
+// represented by indices, so that placement compares no names. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -15,20 +15,20 @@
 
 using RegionIndex = int;
 
-// Of a zone that the settings name no region of.
+// Region of a zone that has no region in the settings.
 inline constexpr RegionIndex kUnknownRegion = -1;
 
 // The regions in which one request may be served.
 class RegionSet {
  public:
-  // All of them, unknown ones included.
+  // All regions, including unknown ones.
   RegionSet() = default;
-  // These only: `allowed` by region.
+  // Only the regions for which `allowed`, indexed by region, is true.
   explicit RegionSet(std::vector<bool> allowed) : allowed_(std::move(allowed)) {}
 
   bool IsRestricted() const { return allowed_.has_value(); }
 
-  // A restricted request never goes where the region is not known: it may be any.
+  // A restricted request is never sent to an unknown region, which may be any.
   bool Allows(RegionIndex region) const {
     if (!allowed_.has_value()) return true;
     return region >= 0 && static_cast<size_t>(region) < allowed_->size() &&
@@ -45,21 +45,22 @@
   // `zone_regions`: the region of each zone.
   explicit RegionMap(const std::map<std::string, std::string>& zone_regions);
 
-  // Regions that are known, numbered from 0 in alphabetical order.
+  // Number of known regions; they are numbered from 0 in alphabetical order.
   size_t Count() const { return names_.size(); }
   RegionIndex IndexOfZone(std::string_view zone) const;
   RegionIndex IndexOfName(std::string_view region) const;
   const std::string& NameOf(RegionIndex region) const;
 
-  // The regions that `profile` allows. A region that no zone lies in allows nothing.
+  // The regions that the data residency of `profile` allows. A region without any zone allows
+  // nothing.
   RegionSet AllowedFor(const RequestProfile& profile) const;
 
   bool Allows(const RequestProfile& profile, std::string_view zone) const {
     return AllowedFor(profile).Allows(IndexOfZone(zone));
   }
 
-  // Prompt memory moves within one region only: it is gigabytes, and links between regions are
-  // narrow. Zones of no known region share only where no region is known at all.
+  // KV cache is transferred within one region only: it takes gigabytes, and links between regions
+  // are narrow. Zones without a known region may share only when no region is configured at all.
   bool MayShareMemory(RegionIndex from, RegionIndex to) const {
     return from == to && (from != kUnknownRegion || names_.empty());
   }
@@ -69,7 +70,8 @@
   std::map<std::string, RegionIndex, std::less<>> zones_;
 };
 
-// Names of regions in alphabetical order, or nothing: all. What both allow.
+// Names of allowed regions in alphabetical order; nothing: all regions. Intersection() returns what
+// both allow.
 using Residency = std::optional<std::vector<std::string>>;
 Residency Intersection(const Residency& left, const Residency& right);
 
--- a/libs/dispatch/include/cartsail/dispatch/request_profile.h
+++ b/libs/dispatch/include/cartsail/dispatch/request_profile.h
@@ -1,4 +1,4 @@
-// What placement needs to know of one request. Pure.
+// The properties of a request that placement uses. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,8 @@
 
 namespace cartsail {
 
-// A run of prompt tokens that requests may share. A part is cached only behind the same parts.
+// A run of prompt tokens that several requests may have in common. A part is cached only after the
+// same preceding parts.
 struct PromptPart {
   uint64_t id = 0;
   int64_t tokens = 0;
@@ -18,20 +19,20 @@
 
 struct RequestProfile {
   std::string service;
-  // Back ends of this version only: the request goes on with a stream that one of them began.
-  // Empty: any.
+  // The request resumes a stream and may only go to back ends of this version, which began it.
+  // Empty: any version.
   std::string version;
-  // Data residency: the request may be served, and what it holds kept, in these regions only, in
+  // Data residency: the regions in which the request may be served and its data kept, in
   // alphabetical order. Nothing: anywhere. An empty list: nowhere.
   std::optional<std::vector<std::string>> residency;
   int64_t tier = 0;
   Duration first_output_goal = seconds(1);
-  bool is_generation = false;  // runs at a model engine; the fields below count
+  bool is_generation = false;  // runs at a model engine; the fields below apply
   std::vector<PromptPart> prompt_parts;
   int64_t prompt_tokens = 0;
-  int64_t output_tokens = 0;  // the most that it generates
+  int64_t output_tokens = 0;  // maximum number of generated tokens
   std::optional<Duration> longest_pause;
-  int64_t bytes_per_token = 0;  // of prompt memory, when it is moved; 0: it cannot be moved
+  int64_t bytes_per_token = 0;  // size of the KV cache; 0: it cannot be transferred
 };
 
 }  // namespace cartsail
--- a/libs/dispatch/include/cartsail/dispatch/retry_schedule.h
+++ b/libs/dispatch/include/cartsail/dispatch/retry_schedule.h
@@ -1,6 +1,6 @@
-// When callers that are refused for lack of room are to come back: one after the other, as room
-// comes about. Told the time of the next grant alone, all that are refused meanwhile would come
-// back for that one. Pure.
+// Schedules the retries of callers that are refused for lack of capacity, one after the other as
+// capacity becomes available. If all callers were told the time of the next grant, all of them
+// would return for that one grant. Performs no I/O.
 #pragma once
 
 #include "cartsail/base/clock.h"
@@ -9,15 +9,16 @@
 
 class RetrySchedule {
  public:
-  // No caller is told more: by then back ends may take any rate again.
+  // Longest delay that a caller is given, unless the wait itself is longer: by then back ends may
+  // accept any rate again.
   static constexpr Duration kLongest = seconds(10);
 
-  // The time until the next refused caller is to come back, where room for the next request comes
-  // about in `wait` and for `per_s` requests a second from then on.
+  // Delay until the next refused caller is to retry. Capacity for the next request becomes
+  // available in `wait`, and for `per_s` requests a second from then on.
   Duration Next(Duration wait, double per_s, TimePoint now);
 
  private:
-  TimePoint last_{};  // when the one refused last is to come back
+  TimePoint last_{};  // when the caller refused last is to retry
 };
 
 }  // namespace cartsail
--- a/libs/dispatch/include/cartsail/dispatch/run_time.h
+++ b/libs/dispatch/include/cartsail/dispatch/run_time.h
@@ -1,4 +1,5 @@
-// How long streams run after their first output, learnt for each service and longest pause. Pure.
+// Learns how long streams run after their first output, by service and longest pause. Performs no
+// I/O.
 #pragma once
 
 #include <map>
@@ -15,7 +16,7 @@
 
   void Note(const std::string& service, Duration longest_pause, Duration run_time);
 
-  // The mean of recent streams.
+  // Moving average over recent streams; `initial` until one was recorded.
   Duration Mean(const std::string& service, Duration longest_pause) const;
 
  private:
--- a/libs/dispatch/include/cartsail/dispatch/service_pools.h
+++ b/libs/dispatch/include/cartsail/dispatch/service_pools.h
@@ -1,5 +1,6 @@
-// The ready back ends of each service, and which of them are set aside for light requests. Kept
-// between requests; what a pool costs in a second does not grow with it. Pure.
+// The ready back ends of each service, and which of them are reserved for light requests. Pools are
+// cached between requests; the cost of maintaining one per second does not grow with its size.
+// Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +16,8 @@
 
 namespace cartsail {
 
-// A pool that has no more members is made anew with each change of the registry, and weighed as a
-// whole for each request.
+// Largest pool that is rebuilt on each change of the registry and evaluated as a whole for each
+// request.
 inline constexpr size_t kSmallPool = 256;
 
 struct PoolMember {
@@ -24,8 +25,8 @@
   bool for_light = false;
 };
 
-// Those set aside for light requests come first. A large pool may name back ends that have gone or
-// begun to leave meanwhile.
+// Members reserved for light requests come first. A large pool may contain back ends that have been
+// removed or begun to leave meanwhile.
 class ServicePool {
  public:
   const std::vector<PoolMember>& Members() const { return members_; }
@@ -38,12 +39,12 @@
 
  private:
   std::vector<PoolMember> members_;
-  std::unordered_map<BackendKey, size_t> places_;  // in `members_`
+  std::unordered_map<BackendKey, size_t> places_;  // index in `members_`
 };
 
 class ServicePools {
  public:
-  // What a pool is made from. The parts outlive the pools.
+  // The inputs from which a pool is built; used during the call only.
   struct Inputs {
     const BackendRegistry& registry;
     const PauseModel& pauses;
@@ -55,11 +56,11 @@
 
   const ServicePool& Of(const std::string& service, const Inputs& inputs, TimePoint now);
 
-  // Back ends that were looked at to make pools.
-  int64_t ExaminedBackends() const { return looked_; }
+  // Number of back ends examined so far to build pools.
+  int64_t ExaminedBackends() const { return examined_; }
 
  private:
-  // All nodes agree on the order: by the hash of the id.
+  // Ordered by the hash of the id, so that all nodes agree on the order.
   struct OrderedBackend {
     BackendKey key = 0;
     uint64_t hash = 0;
@@ -80,7 +81,7 @@
 
   PartitionPolicy policy_;
   std::unordered_map<std::string, Pool> pools_;
-  int64_t looked_ = 0;
+  int64_t examined_ = 0;
 };
 
 }  // namespace cartsail
--- a/libs/dispatch/include/cartsail/dispatch/zone_drains.h
+++ b/libs/dispatch/include/cartsail/dispatch/zone_drains.h
@@ -1,5 +1,5 @@
-// The zones that operators have drained: their back ends get no new request until the zone is
-// restored. Pure.
+// The zones that operators have drained. Their back ends get no new request until the zone is
+// restored. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -15,18 +15,18 @@
 
 class ZoneDrains {
  public:
-  // Each returns true when that changed anything.
+  // Each of these functions returns true when it changed anything.
   bool Drain(const std::string& zone, TimePoint now);
   bool Restore(const std::string& zone, TimePoint now);
-  // All drained zones, as known at one moment.
+  // Replaces the set of drained zones by a snapshot.
   bool ReplaceAll(const std::set<std::string>& zones, TimePoint now);
 
   bool IsDrained(std::string_view zone) const { return drained_.contains(zone); }
 
-  // Since when it is drained, as this node learnt it; nothing when it is not.
+  // When this node learned that the zone was drained; nothing when it is not drained.
   std::optional<TimePoint> DrainedSince(std::string_view zone) const;
 
-  // When the zone was last restored; nothing when it never was.
+  // When the zone was last restored; nothing when it never was or is drained now.
   std::optional<TimePoint> RestoredAt(std::string_view zone) const;
 
   // In alphabetical order.
@@ -35,8 +35,9 @@
   bool IsEmpty() const { return drained_.empty(); }
 
  private:
-  std::map<std::string, TimePoint, std::less<>> drained_;   // since when
-  std::map<std::string, TimePoint, std::less<>> restored_;  // when, of those not drained now
+  std::map<std::string, TimePoint, std::less<>> drained_;  // when each was drained
+  // when each was restored; only zones that are not drained now
+  std::map<std::string, TimePoint, std::less<>> restored_;
 };
 
 }  // namespace cartsail
--- a/libs/dispatch/src/attempt_outcome.cc
+++ b/libs/dispatch/src/attempt_outcome.cc
@@ -3,8 +3,8 @@
 namespace cartsail {
 namespace {
 
-// Back ends that one request is offered to at most, refusals and failed connections included.
-constexpr int64_t kMostOffers = 4;
+// Maximum number of back ends tried for one request, including refusals and failed connections.
+constexpr int64_t kMaxOffers = 4;
 
 bool MayRunTwice(const RouteRule& route) {
   if (route.kind == RequestKind::kRepeatable) return true;
@@ -58,7 +58,7 @@
       outcome == AttemptOutcome::kCallerGone || outcome == AttemptOutcome::kGivenUp) {
     return false;
   }
-  if (history.attempts + history.connects_failed >= kMostOffers) return false;
+  if (history.attempts + history.connects_failed >= kMaxOffers) return false;
   if (history.may_have_run >= route.max_attempts) return false;
   if (history.may_have_run > 0 && !MayRunTwice(route)) return false;
   return ProvablyNotRun(outcome) || MayRunTwice(route);
--- a/libs/dispatch/src/backend_health.cc
+++ b/libs/dispatch/src/backend_health.cc
@@ -7,37 +7,37 @@
 namespace {
 
 constexpr double kAssumedSuccesses = 3;
-constexpr double kLeastFailures = 0.2;   // that count as lately
-constexpr double kSlownessWeight = 0.1;  // of one measurement
-constexpr double kMostSlowness = 10;
-constexpr Duration kSlownessFade = seconds(10);  // what is beyond 1 falls to a third in this time
-constexpr Duration kFadeTime = seconds(4);       // the share falls to a third in this time
+constexpr double kMinRecentFailures = 0.2;  // smallest decayed count that counts as recent
+constexpr double kSlownessWeight = 0.1;     // weight of one measurement
+constexpr double kMaxSlowness = 10;
+constexpr Duration kSlownessDecayTime = seconds(10);  // decay time of the slowness beyond 1
+constexpr Duration kAttemptDecayTime = seconds(4);    // decay time of the attempts
 constexpr Duration kFirstSuspension = milliseconds(250);
-constexpr Duration kLongestSuspension = seconds(3);
+constexpr Duration kMaxSuspension = seconds(3);
 
 bool IsLoss(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::kNotSent || outcome == AttemptOutcome::kSilent;
 }
 
-bool SaysNothing(AttemptOutcome outcome) {
+bool IsNeutral(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::kCallerGone || outcome == AttemptOutcome::kWithheld ||
          outcome == AttemptOutcome::kGivenUp || outcome == AttemptOutcome::kNoPath ||
          outcome == AttemptOutcome::kPathLost;
 }
 
 bool CountsAsFailure(AttemptOutcome outcome) {
-  return outcome != AttemptOutcome::kAnswered && !SaysNothing(outcome);
+  return outcome != AttemptOutcome::kAnswered && !IsNeutral(outcome);
 }
 
-// What is left after `age` of what falls to a third in `fade`.
-double FadedShare(Duration age, Duration fade) {
+// Exponential decay factor after `age` with time constant `fade`.
+double DecayFactor(Duration age, Duration fade) {
   return std::exp(-std::max(0.0, ToSeconds(age)) / ToSeconds(fade));
 }
 
 Duration SuspensionAfter(int losses) {
   Duration suspension = kFirstSuspension;
-  for (int i = 1; i < losses && suspension < kLongestSuspension; ++i) suspension *= 2;
-  return std::min(suspension, kLongestSuspension);
+  for (int i = 1; i < losses && suspension < kMaxSuspension; ++i) suspension *= 2;
+  return std::min(suspension, kMaxSuspension);
 }
 
 }  // namespace
@@ -49,7 +49,7 @@
 
 void BackendHealth::Note(BackendKey backend, AttemptOutcome outcome, AttemptOrigin origin,
                          TimePoint now) {
-  if (SaysNothing(outcome)) return;
+  if (IsNeutral(outcome)) return;
   const RecentAttempts faded = Recent(backend, origin, now);
   Record& record = records_[backend];
   FadingAttempts& attempts = origin == AttemptOrigin::kOwn ? record.own : record.of_peers;
@@ -58,7 +58,8 @@
   attempts.updated = now;
   if (!IsLoss(outcome)) {
     record.consecutive_losses = 0;
-    // Another node's loss may be that node's own: one that gets answers shows that it lives.
+    // A loss at another node may be a fault of that node: a back end that answers requests is
+    // alive.
     record.suspended_until = std::min(record.suspended_until, now);
     return;
   }
@@ -68,8 +69,9 @@
 
 void BackendHealth::NotePace(BackendKey backend, double ratio, TimePoint now) {
   Record& record = records_[backend];
-  const double bounded = std::clamp(ratio, 0.2, kMostSlowness);
-  const double faded = 1 + (record.slowness - 1) * FadedShare(now - record.paced, kSlownessFade);
+  const double bounded = std::clamp(ratio, 0.2, kMaxSlowness);
+  const double faded =
+      1 + (record.slowness - 1) * DecayFactor(now - record.paced, kSlownessDecayTime);
   record.slowness = faded + kSlownessWeight * (bounded - faded);
   record.paced = now;
 }
@@ -85,7 +87,7 @@
   if (record == nullptr) return {};
   const FadingAttempts& attempts = origin == AttemptOrigin::kOwn ? record->own : record->of_peers;
   if (attempts.recent.attempts == 0) return {};
-  const double fading = FadedShare(now - attempts.updated, kFadeTime);
+  const double fading = DecayFactor(now - attempts.updated, kAttemptDecayTime);
   return {attempts.recent.attempts * fading, attempts.recent.failures * fading};
 }
 
@@ -93,7 +95,7 @@
   std::vector<BackendKey> failing;
   for (const auto& [backend, record] : records_) {
     const RecentAttempts recent = Recent(backend, AttemptOrigin::kOwn, now);
-    if (recent.failures >= kLeastFailures) failing.push_back(backend);
+    if (recent.failures >= kMinRecentFailures) failing.push_back(backend);
   }
   return failing;
 }
@@ -105,7 +107,8 @@
 double BackendHealth::Slowness(BackendKey backend, TimePoint now) const {
   const Record* record = Find(backend);
   if (record == nullptr) return 1;
-  const double beyond = (record->slowness - 1) * FadedShare(now - record->paced, kSlownessFade);
+  const double beyond =
+      (record->slowness - 1) * DecayFactor(now - record->paced, kSlownessDecayTime);
   return 1 + std::max(beyond, 0.0);
 }
 
--- a/libs/dispatch/src/backend_notices.cc
+++ b/libs/dispatch/src/backend_notices.cc
@@ -23,7 +23,7 @@
   return is_new;
 }
 
-// Until when it binds a process that has started at `start`; long past where it does not.
+// Until when the back-off binds a process started at `start`; TimePoint{} when it does not.
 TimePoint BackendNotices::EndFor(const Backoff& backoff, std::chrono::milliseconds start) {
   const std::chrono::milliseconds told = backoff.told.wall;
   if (told + kMaxClockSkew < start) return TimePoint{};
@@ -49,8 +49,9 @@
   }
   const auto leaving = leaving_.find(earlier);
   if (leaving == leaving_.end()) return;
-  // Never for good: a node whose clock was set ahead by an hour would take every engine that left
-  // and started again within that hour for a leaving one, and tell all nodes so.
+  // Leaving is never transferred permanently: a node whose clock is an hour ahead would take every
+  // engine that left and restarted within that hour for a leaving one, and report this to all
+  // nodes.
   const NoticeTime told = leaving->second;
   Carry(later, {told.at + kMaxAmbiguousHold, told}, start);
 }
--- a/libs/dispatch/src/backend_registry.cc
+++ b/libs/dispatch/src/backend_registry.cc
@@ -14,24 +14,25 @@
 
 namespace {
 
-// An entry of an earlier incarnation than the known one is outdated.
-void TakeOver(const Backend& known, Backend* backend) {
+// Replaces `backend` by `known` when its entry is of an earlier incarnation and therefore outdated.
+void KeepIfNewer(const Backend& known, Backend* backend) {
   if (backend->started_ms < known.started_ms) *backend = known;
 }
 
 }  // namespace
 
-// The entry of `backend` is gone. A later process may have told something before its entry comes.
+// Records that the entry of `backend` was removed. A later process may have sent notices before its
+// own entry arrives.
 void BackendRegistry::NoteDeparture(const Backend& backend) {
   if (IsNoticed(backend.key)) departed_[backend.id] = backend.key;
 }
 
-// It has told something of itself.
+// True when notices of the back end are recorded.
 bool BackendRegistry::IsNoticed(BackendKey key) const {
   return notices_.Knows(key) || limits_.Knows(key) || brittle_.Knows(key);
 }
 
-// The incarnation under the id of `backend` before it. `known`: the entry before; or nullptr.
+// The previous incarnation with the id of `backend`. `known`: the entry replaced; nullptr: none.
 std::optional<BackendKey> BackendRegistry::EarlierOf(const Backend* known, const Backend& backend) {
   if (known != nullptr) return known->key;
   const auto departed = departed_.find(backend.id);
@@ -53,7 +54,7 @@
   if (current != nullptr && current->key != asked.key) CarryToSuccessor(asked.key, *current);
 }
 
-// `known`: the entry under the id before; or nullptr.
+// Sets the derived fields of `backend`. `known`: the entry replaced; nullptr: none.
 void BackendRegistry::Identify(const Backend* known, Backend* backend) {
   backend->key = KeyOf(backend->id, backend->started_ms);
   const std::optional<BackendKey> earlier = EarlierOf(known, *backend);
@@ -65,7 +66,7 @@
   if (notices_.IsLeaving(backend->key)) backend->state = BackendState::kLeaving;
 }
 
-// Adds to `backends` the ready ones that it lacks.
+// Adds to `backends` the known ready ones that it lacks, marked as missing until `until`.
 void BackendRegistry::KeepMissing(std::vector<Backend>* backends, TimePoint until) const {
   std::set<std::string_view> listed;
   for (const Backend& backend : *backends) listed.insert(backend.id);
@@ -87,7 +88,7 @@
   ++changes_;
   for (Backend& backend : backends) {
     const auto known = before.find(backend.id);
-    if (known != before.end()) TakeOver(known->second, &backend);
+    if (known != before.end()) KeepIfNewer(known->second, &backend);
     Identify(known == before.end() ? nullptr : &known->second, &backend);
     if (backend.missing_until.has_value()) {
       next_gone_ = std::min(next_gone_, *backend.missing_until);
@@ -102,7 +103,7 @@
 void BackendRegistry::Put(Backend backend) {
   const auto known = backends_.find(backend.id);
   if (known != backends_.end()) {
-    TakeOver(known->second, &backend);
+    KeepIfNewer(known->second, &backend);
     by_key_.erase(known->second.key);
   }
   Identify(known == backends_.end() ? nullptr : &known->second, &backend);
@@ -165,17 +166,17 @@
 
 std::vector<BackendRateNotice> BackendRegistry::RateNoticesOf(std::string_view service, size_t most,
                                                               TimePoint now) const {
-  return WordsOf(limits_, service, most, now);
+  return NoticesOf(limits_, service, most, now);
 }
 
 std::vector<BackendRateNotice> BackendRegistry::BrittleNoticesOf(std::string_view service,
                                                                  size_t most, TimePoint now) const {
-  return WordsOf(brittle_, service, most, now);
+  return NoticesOf(brittle_, service, most, now);
 }
 
-std::vector<BackendRateNotice> BackendRegistry::WordsOf(const RateLimits& limits,
-                                                        std::string_view service, size_t most,
-                                                        TimePoint now) const {
+std::vector<BackendRateNotice> BackendRegistry::NoticesOf(const RateLimits& limits,
+                                                          std::string_view service, size_t most,
+                                                          TimePoint now) const {
   const auto is_of_service = [this, service](BackendKey key) {
     const Backend* backend = FindByKey(key);
     return backend != nullptr && backend->service == service;
--- a/libs/dispatch/src/brittle_back_ends.cc
+++ b/libs/dispatch/src/brittle_back_ends.cc
@@ -6,21 +6,23 @@
 namespace cartsail {
 namespace {
 
-// Requests run at once in its slots, and only those that wait are turned away: while fewer than
-// these are taken there is room, unless prompts fill its memory.
+// Only requests that wait for a slot are rejected: while less than this fraction of the slots is
+// taken there is capacity, unless prompts fill the KV cache.
 constexpr double kSafeShareOfSlots = 0.75;
-// Of what it bears. The rest is for what another node granted before a takeover.
-constexpr double kShareOfBorne = 0.5;
-// What is sent in one second was granted within this time.
+// Fraction of the tolerated rejections that one node uses. The rest is for grants that another node
+// made before a takeover.
+constexpr double kToleratedShare = 0.5;
+// Requests sent within one second were granted within this window.
 constexpr Duration kWindow = seconds(1) + kGrantLifetime;
 
 }  // namespace
 
-BrittleAllowance AllowanceOfBrittle(double bears_per_s, double share, int64_t slots) {
+BrittleAllowance AllowanceOfBrittle(double tolerated_rejections_per_s, double share,
+                                    int64_t slots) {
   BrittleAllowance allowance;
   allowance.safe_requests =
       static_cast<int64_t>(std::floor(kSafeShareOfSlots * share * static_cast<double>(slots)));
-  const double most = std::floor(kShareOfBorne * share * bears_per_s);
+  const double most = std::floor(kToleratedShare * share * tolerated_rejections_per_s);
   allowance.beyond = {static_cast<int64_t>(most), kWindow};
   return allowance;
 }
@@ -28,9 +30,9 @@
 Duration BrittleBackEnds::WaitFor(BackendKey backend, const BrittleAllowance& allowance,
                                   int64_t requests, const GrantLimiter& grants,
                                   TimePoint now) const {
-  const auto turned_away = turned_away_.find(backend);
-  if (turned_away != turned_away_.end() && now - turned_away->second < kWindow) {
-    return turned_away->second + kWindow - now;
+  const auto last_rejection = last_rejections_.find(backend);
+  if (last_rejection != last_rejections_.end() && now - last_rejection->second < kWindow) {
+    return last_rejection->second + kWindow - now;
   }
   if (requests < allowance.safe_requests) return Duration(0);
   if (allowance.beyond.most <= 0) return kWindow;
@@ -38,7 +40,8 @@
 }
 
 void BrittleBackEnds::Expire(TimePoint now) {
-  std::erase_if(turned_away_, [now](const auto& entry) { return now - entry.second >= kWindow; });
+  std::erase_if(last_rejections_,
+                [now](const auto& entry) { return now - entry.second >= kWindow; });
 }
 
 }  // namespace cartsail
--- a/libs/dispatch/src/cold_back_ends.cc
+++ b/libs/dispatch/src/cold_back_ends.cc
@@ -3,20 +3,19 @@
 namespace cartsail {
 namespace {
 
-// A back end that was lost and does not answer is held for lost so long. One that is away for
-// longer has no entry any more, and the one that it writes when it is back tells whether it is
-// cold.
+// How long a lost back end that does not answer counts as lost. One that is away for longer has no
+// entry any more, and the entry that it writes on its return states whether it is cold.
 constexpr Duration kLongestAbsence = seconds(10);
 
-// A back end that was lost is asked soon, since most are there, and less and less often, since the
-// others may be away for as long as they are held for lost.
-constexpr Duration kFirstQuestion = milliseconds(50);
-constexpr Duration kLongestPause = seconds(1);
+// A lost back end is queried soon, because most are still there, and then with growing intervals,
+// because the others may be away for all of kLongestAbsence.
+constexpr Duration kInitialQueryInterval = milliseconds(50);
+constexpr Duration kMaxQueryInterval = seconds(1);
 
-Duration PauseAfter(int questions) {
-  Duration pause = kFirstQuestion;
-  for (int i = 0; i < questions && pause < kLongestPause; ++i) pause *= 2;
-  return std::min(pause, kLongestPause);
+Duration QueryIntervalAfter(int queries) {
+  Duration interval = kInitialQueryInterval;
+  for (int i = 0; i < queries && interval < kMaxQueryInterval; ++i) interval *= 2;
+  return std::min(interval, kMaxQueryInterval);
 }
 
 bool IsLoss(AttemptOutcome outcome) {
@@ -29,9 +28,9 @@
          outcome == AttemptOutcome::kRefused;
 }
 
-void TakeLater(const ColdPeriod& spell, TimePoint now, std::optional<ColdPeriod>* last) {
-  if (spell.until <= now) return;
-  if (!last->has_value() || spell.until > (*last)->until) *last = spell;
+void TakeLater(const ColdPeriod& period, TimePoint now, std::optional<ColdPeriod>* last) {
+  if (period.until <= now) return;
+  if (!last->has_value() || period.until > (*last)->until) *last = period;
 }
 
 }  // namespace
@@ -69,19 +68,19 @@
   return services;
 }
 
-// Requests that were under way together are lost one after the other: questions go on as they were
-// planned.
+// Concurrent requests are lost one after the other: a further loss does not restart the schedule of
+// queries.
 void ColdBackEnds::NoteLoss(BackendKey backend, TimePoint warm, TimePoint now) {
   Loss& loss = losses_[backend];
-  const bool is_known = loss.lost != TimePoint() && !loss.told;
+  const bool is_known = loss.lost != TimePoint() && !loss.reported;
   if (!is_known) {
-    loss.questions = 0;
-    loss.next_question = now + PauseAfter(0);
+    loss.queries = 0;
+    loss.next_query = now + QueryIntervalAfter(0);
   }
   loss.lost = now;
   loss.warm = warm;
   loss.answered = false;
-  loss.told = false;
+  loss.reported = false;
 }
 
 void ColdBackEnds::NoteOutcome(const Backend& backend, AttemptOutcome outcome, TimePoint begun,
@@ -94,8 +93,8 @@
   }
   if (!IsAnswer(outcome)) return;
   const auto loss = losses_.find(backend.key);
-  if (loss == losses_.end() || loss->second.answered || loss->second.told) return;
-  // An answer to an earlier request may have been on its way when the back end was lost.
+  if (loss == losses_.end() || loss->second.answered || loss->second.reported) return;
+  // An answer to an earlier request may have been in transit when the back end was lost.
   if (begun <= loss->second.lost) return;
   loss->second.answered = true;
   loss->second.warm = now + rule->length;
@@ -123,7 +122,7 @@
   std::optional<ColdPeriod> last = ReportedColdPeriodOf(backend, rule, drains, now);
   const auto loss = losses_.find(backend.key);
   if (loss != losses_.end()) {
-    const bool needs_warmth_query = rule.reports_warmth && !loss->second.told;
+    const bool needs_warmth_query = rule.reports_warmth && !loss->second.reported;
     TakeLater({ColdReason::kLost, loss->second.warm, loss->second.lost, needs_warmth_query}, now,
               &last);
   }
@@ -133,30 +132,30 @@
 std::vector<BackendKey> ColdBackEnds::DueForWarmthQuery(TimePoint now) const {
   std::vector<BackendKey> due;
   for (const auto& [backend, loss] : losses_) {
-    if (!loss.told && loss.warm > now && now >= loss.next_question) due.push_back(backend);
+    if (!loss.reported && loss.warm > now && now >= loss.next_query) due.push_back(backend);
   }
   return due;
 }
 
 bool ColdBackEnds::IsDueForTrial(const Backend& backend, TimePoint now) const {
   const auto loss = losses_.find(backend.key);
-  if (loss == losses_.end() || loss->second.answered || loss->second.told) return false;
+  if (loss == losses_.end() || loss->second.answered || loss->second.reported) return false;
   const ServiceWarmUp* rule = RuleOf(backend.service);
-  return rule != nullptr && !rule->reports_warmth && now >= loss->second.next_question;
+  return rule != nullptr && !rule->reports_warmth && now >= loss->second.next_query;
 }
 
 void ColdBackEnds::NoteAsked(BackendKey backend, TimePoint now) {
   const auto loss = losses_.find(backend);
   if (loss == losses_.end()) return;
-  loss->second.next_question = now + PauseAfter(++loss->second.questions);
+  loss->second.next_query = now + QueryIntervalAfter(++loss->second.queries);
 }
 
-bool ColdBackEnds::NoteWarmth(BackendKey backend, const WarmthReport& answer, TimePoint now) {
+bool ColdBackEnds::NoteWarmth(BackendKey backend, const WarmthReport& report, TimePoint now) {
   const auto loss = losses_.find(backend);
-  // What was asked before it was lost may have been told by the process before.
-  if (loss == losses_.end() || answer.asked <= loss->second.lost) return false;
-  loss->second.told = true;
-  loss->second.warm = now + answer.cold_left;
+  // A query sent before the loss may have been answered by the previous process.
+  if (loss == losses_.end() || report.asked <= loss->second.lost) return false;
+  loss->second.reported = true;
+  loss->second.warm = now + report.cold_left;
   return true;
 }
 
--- a/libs/dispatch/src/dispatcher.cc
+++ b/libs/dispatch/src/dispatcher.cc
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr Duration kWorkWindow = seconds(5);
-constexpr size_t kMostDigestPrefixes = 64;
-constexpr int64_t kLeastEventsForPause = 12;  // of a stream whose pace is measured
+constexpr size_t kMaxDigestPrefixes = 64;
+constexpr int64_t kMinEventsForPause = 12;  // fewest events of a stream that give a mean pause
 }  // namespace
 
 Dispatcher::Dispatcher(PlacementPolicy policy, std::string zone, RegionMap regions, uint32_t seed)
@@ -24,9 +24,9 @@
 std::optional<Placement> Dispatcher::Place(const RequestProfile& profile,
                                            const std::vector<BackendKey>& tried, TimePoint now,
                                            std::vector<BackendKey> connected,
-                                           const GrantAuthority& right) {
+                                           const GrantAuthority& authority) {
   std::optional<Placement> placement = Choose({"", zone_, std::move(connected)}, profile,
-                                              ExcludedFor(profile, tried, now), now, right);
+                                              ExcludedFor(profile, tried, now), now, authority);
   if (placement.has_value()) Begin(profile, AttemptOrigin::kOwn, &*placement, now);
   return placement;
 }
@@ -34,8 +34,8 @@
 std::optional<Placement> Dispatcher::PlaceFor(const Requester& requester,
                                               const RequestProfile& profile,
                                               const std::vector<BackendKey>& tried, TimePoint now,
-                                              const GrantAuthority& right) {
-  std::optional<Placement> placement = Choose(requester, profile, tried, now, right);
+                                              const GrantAuthority& authority) {
+  std::optional<Placement> placement = Choose(requester, profile, tried, now, authority);
   if (placement.has_value()) Begin(profile, AttemptOrigin::kPeer, &*placement, now);
   return placement;
 }
@@ -46,15 +46,15 @@
                                            TimePoint rate_notices_known, TimePoint now) {
   const Backend* backend = registry_.FindByKey(grant.backend);
   if (backend == nullptr) return std::nullopt;
-  // The coordinator may have another document in force.
+  // The coordinator may have another routing document in force.
   const RegionSet allowed = registry_.Regions().AllowedFor(profile);
   if (!registry_.MayReceive(*backend, allowed, now)) return std::nullopt;
   if (backend->service != profile.service) return std::nullopt;
-  // Coordinators of earlier builds place at any version.
+  // Coordinators of earlier builds ignore the version.
   if (!MatchesVersion(profile, *backend)) return std::nullopt;
-  const bool is_unknown_there =
+  const bool unknown_to_coordinator =
       IsReportedCold(*backend, now) || HasLaterRateLimit(backend->key, rate_notices_known);
-  if (!grant.is_metered && is_unknown_there) return std::nullopt;
+  if (!grant.is_metered && unknown_to_coordinator) return std::nullopt;
   Placement placement;
   placement.rate_notices_known = rate_notices_known;
   placement.backend = *backend;
@@ -106,16 +106,16 @@
   if (registry_.BackingOffFrom(profile.service, now).empty()) return backoffs;
   const RegionSet allowed = registry_.Regions().AllowedFor(profile);
   const ServicePools::Inputs inputs{registry_, pauses_, loads_, work_};
-  bool some_free = false;
+  bool any_without_backoff = false;
   for (const PoolMember& member : pools_.Of(profile.service, inputs, now).Members()) {
     const Backend* backend = registry_.FindOpen(member.key);
     if (backend == nullptr || !allowed.Allows(backend->region)) continue;
     if (!MatchesVersion(profile, *backend)) continue;
     const std::optional<Duration> left = registry_.BackoffLeft(member.key, now);
-    some_free = some_free || !left.has_value();
+    any_without_backoff = any_without_backoff || !left.has_value();
     if (left.has_value()) backoffs.shortest = std::min(backoffs.shortest.value_or(*left), *left);
   }
-  backoffs.all = backoffs.shortest.has_value() && !some_free;
+  backoffs.all = backoffs.shortest.has_value() && !any_without_backoff;
   return backoffs;
 }
 
@@ -149,7 +149,7 @@
   running.service = profile.service;
   if (profile.is_generation) BeginPrompt(profile, &running, now);
   loads_.Begin(running.backend, running.prefill_ms, running.is_light);
-  // Peers tell of their own work in digests.
+  // Peers report their own work in digests.
   if (profile.is_generation && origin == AttemptOrigin::kOwn) {
     work_.Note(profile.service, running.is_light, running.prefill_ms, now);
   }
@@ -160,14 +160,15 @@
   running_[placement->ticket] = std::move(running);
 }
 
-// The prompt may put the streams that run there beyond their pauses; the request joins them.
+// Accounts for the prompt's effect on the streams that run at the back end, and adds the request's
+// own stream to them.
 void Dispatcher::BeginPrompt(const RequestProfile& profile, Running* running, TimePoint now) {
   const BackendKey backend = running->backend;
   const double before_ms = BacklogMillis(backend, now);
   running->backlog_ms = running->prefill_ms * SlownessOf(backend, now);
   backlog_.Add(backend, running->backlog_ms, now);
   for (const Duration bound : risk_.Bounds()) {
-    const double chance = BreakChance(backend, before_ms, running->backlog_ms, bound);
+    const double chance = PauseBreakProbability(backend, before_ms, running->backlog_ms, bound);
     risk_.NotePrompt(backend, bound, chance, now);
   }
   running->pause_bound = profile.longest_pause.value_or(Duration(0));
@@ -176,13 +177,13 @@
 
 void Dispatcher::NotePrefixes(const RequestProfile& profile, BackendKey backend,
                               AttemptOrigin origin, TimePoint now) {
-  // The last part is the request's own.
+  // The last part belongs to this request only.
   for (size_t i = 0; i + 1 < profile.prompt_parts.size(); ++i) {
     const uint64_t part = profile.prompt_parts[i].id;
     prefixes_.Note(part, backend, now);
-    const bool is_told =
-        origin == AttemptOrigin::kOwn && new_prefixes_.size() < kMostDigestPrefixes;
-    if (is_told) new_prefixes_.push_back({part, backend});
+    const bool is_reported =
+        origin == AttemptOrigin::kOwn && new_prefixes_.size() < kMaxDigestPrefixes;
+    if (is_reported) new_prefixes_.push_back({part, backend});
   }
 }
 
@@ -212,7 +213,7 @@
   if (!running.is_generation || running.outputs < 2) return {};
   StreamPauses pauses;
   pauses.longest_ms = ToMillis(running.longest_pause);
-  if (running.outputs < kLeastEventsForPause) return pauses;
+  if (running.outputs < kMinEventsForPause) return pauses;
   const double span_ms = ToMillis(running.last_output - running.first_output);
   pauses.mean_ms = span_ms / static_cast<double>(running.outputs - 1);
   return pauses;
@@ -256,7 +257,7 @@
   if (known == nullptr) return;
   health_.Note(backend, outcome, origin, now);
   cold_.NoteOutcome(*known, outcome, begun, now);
-  if (outcome == AttemptOutcome::kRefused) brittle_.NoteTurnedAway(backend, now);
+  if (outcome == AttemptOutcome::kRefused) brittle_.NoteRejection(backend, now);
   if (outcome == AttemptOutcome::kWrongInstance) registry_.MarkLeaving(backend);
 }
 
@@ -292,7 +293,7 @@
   backlog_.ForgetUnless(is_known);
 }
 
-// Back ends without requests of this node are told of when they failed lately.
+// Adds entries for back ends without requests of this node at which attempts failed recently.
 void Dispatcher::AddFailing(std::vector<BackendLoadEntry>* loads, TimePoint now) const {
   for (const BackendKey key : health_.RecentlyFailing(now)) {
     const auto is_there = [key](const BackendLoadEntry& entry) { return entry.backend == key; };
--- a/libs/dispatch/src/dispatcher_choice.cc
+++ b/libs/dispatch/src/dispatcher_choice.cc
@@ -1,4 +1,4 @@
-// How the dispatcher chooses the back end of one request: the one with the least expected loss.
+// Choice of the back end of one request: the candidate with the smallest expected loss.
 #include <algorithm>
 #include <random>
 
@@ -7,17 +7,17 @@
 namespace cartsail {
 namespace {
 
-constexpr double kLikely = 0.5;  // chances above it
-// Of a large pool, for one request.
-constexpr size_t kMostHoldersWeighed = 64;
+constexpr double kLikely = 0.5;  // probabilities above this are likely
+// Limits on the members of a large pool that are evaluated for one request.
+constexpr size_t kMaxHoldersEvaluated = 64;
 constexpr size_t kMembersDrawn = 128;
 
 bool Contains(const std::vector<BackendKey>& keys, BackendKey key) {
   return std::find(keys.begin(), keys.end(), key) != keys.end();
 }
 
-// One place out of each of `draws` equal spans of `size`: light and heavy members, which stand in
-// this order, are drawn in proportion.
+// Draws one index out of each of `draws` equal spans of `size`. Light and heavy members, which are
+// stored in this order, are thereby drawn in proportion.
 std::vector<size_t> DrawEvenly(size_t size, size_t draws, std::minstd_rand* random) {
   std::vector<size_t> places;
   places.reserve(draws);
@@ -35,20 +35,22 @@
   return !IsOff(Mechanism::kSuspension) && health_.IsSuspended(backend, now);
 }
 
-// True when reading `prefill_ms` would rather break the pauses of the most sensitive streams.
+// True when a prefill of `prefill_ms` would probably break the pauses of the most sensitive
+// streams.
 bool Dispatcher::IsDisturbing(BackendKey backend, double prefill_ms) const {
   if (risk_.Bounds().empty()) return false;
-  return BreakChance(backend, 0, prefill_ms, risk_.Bounds().front()) > kLikely;
+  return PauseBreakProbability(backend, 0, prefill_ms, risk_.Bounds().front()) > kLikely;
 }
 
-// Engines that hold the prompt, those to which the requester is connected, and some drawn evenly
-// from the pool: the work of a placement does not grow with the pool.
+// Members of a large pool to evaluate: engines that hold parts of the prompt, those to which the
+// requester is connected, and some drawn evenly. The work of a placement does not grow with the
+// pool.
 std::vector<PoolMember> Dispatcher::SampleMembers(const ServicePool& pool,
                                                   const Requester& requester,
                                                   const RequestProfile& profile, TimePoint now) {
   std::vector<BackendKey> keys;
   if (profile.is_generation && !IsOff(Mechanism::kPrefixAffinity)) {
-    keys = prefixes_.HoldersOf(profile.prompt_parts, kMostHoldersWeighed, now);
+    keys = prefixes_.HoldersOf(profile.prompt_parts, kMaxHoldersEvaluated, now);
   }
   keys.insert(keys.end(), requester.connected.begin(), requester.connected.end());
   for (const size_t place : DrawEvenly(pool.Size(), kMembersDrawn, &draws_)) {
@@ -56,7 +58,7 @@
   }
   std::sort(keys.begin(), keys.end());
   keys.erase(std::unique(keys.begin(), keys.end()), keys.end());
-  // Of equal ones the first is chosen: not the same one by all nodes.
+  // Ties go to the first candidate; shuffling keeps nodes from all choosing the same one.
   std::shuffle(keys.begin(), keys.end(), draws_);
   std::vector<PoolMember> members;
   for (const BackendKey key : keys) {
@@ -69,24 +71,25 @@
 Dispatcher::PlacementView Dispatcher::View(const Requester& requester,
                                            const RequestProfile& profile,
                                            const std::vector<BackendKey>& tried, TimePoint now,
-                                           const GrantAuthority& right) {
+                                           const GrantAuthority& authority) {
   loads_.ExpirePeers(now);
   RemoveMissing(now);
   const ServicePools::Inputs inputs{registry_, pauses_, loads_, work_};
   const ServicePool& pool = pools_.Of(profile.service, inputs, now);
   if (pool.Size() > kSmallPool) {
-    const std::vector<PoolMember> some = SampleMembers(pool, requester, profile, now);
-    PlacementView view = ViewOf(some, profile, tried, now, right);
+    const std::vector<PoolMember> sample = SampleMembers(pool, requester, profile, now);
+    PlacementView view = ViewOf(sample, profile, tried, now, authority);
     if (!view.candidates.empty()) return view;
-    // All of these were tried, or are metered: some of the others may not be.
+    // All members of the sample are excluded or may not get the request now; others may be
+    // available.
   }
-  return ViewOf(pool.Members(), profile, tried, now, right);
+  return ViewOf(pool.Members(), profile, tried, now, authority);
 }
 
 Dispatcher::PlacementView Dispatcher::ViewOf(const std::vector<PoolMember>& members,
                                              const RequestProfile& profile,
                                              const std::vector<BackendKey>& tried, TimePoint now,
-                                             const GrantAuthority& right) const {
+                                             const GrantAuthority& authority) const {
   const RegionSet allowed = registry_.Regions().AllowedFor(profile);
   PlacementView view;
   std::vector<Candidate> suspended;
@@ -95,10 +98,10 @@
     if (backend == nullptr || !allowed.Allows(backend->region)) continue;
     if (!MatchesVersion(profile, *backend)) continue;
     if (Contains(tried, member.key)) continue;
-    const Duration wait = WaitForMetered(*backend, now, right);
+    const Duration wait = WaitForMetered(*backend, now, authority);
     if (wait > Duration(0)) {
       view.metered_wait = std::min(view.metered_wait.value_or(wait), wait);
-      view.limited_per_s += LimitedRate(*backend, right);
+      view.limited_per_s += LimitedRate(*backend, authority);
       continue;
     }
     Candidate candidate{backend, member.for_light};
@@ -115,13 +118,12 @@
   return view;
 }
 
-// What engines of two versions keep of a prompt does not fit together.
-bool Dispatcher::MayShareMemory(const Backend& left, const Backend& right) const {
-  return left.version == right.version &&
-         registry_.Regions().MayShareMemory(left.region, right.region);
+// KV cache contents are not compatible between versions.
+bool Dispatcher::MayShareMemory(const Backend& from, const Backend& to) const {
+  return from.version == to.version && registry_.Regions().MayShareMemory(from.region, to.region);
 }
 
-// Also engines that were tried may hand their memory over.
+// Engines that were already tried can still transfer their KV cache.
 void Dispatcher::FindHolders(const RequestProfile& profile, const std::vector<PoolMember>& members,
                              const RegionSet& allowed, TimePoint now, PlacementView* view) const {
   for (const PoolMember& member : members) {
@@ -135,19 +137,19 @@
   }
 }
 
-// The one with most of the prompt, of each region and version.
+// Keeps the holder with the longest prefix for each region and version.
 void Dispatcher::NoteHolder(const Holder& holder, PlacementView* view) {
   for (Holder& known : view->holders) {
-    const bool is_alike = known.backend->region == holder.backend->region &&
-                          known.backend->version == holder.backend->version;
-    if (!is_alike) continue;
+    const bool is_same_group = known.backend->region == holder.backend->region &&
+                               known.backend->version == holder.backend->version;
+    if (!is_same_group) continue;
     if (holder.tokens > known.tokens) known = holder;
     return;
   }
   view->holders.push_back(holder);
 }
 
-// The engine that may hand prompt memory to `backend`, if there is one.
+// The engine that can transfer KV cache to `backend`; no engine (nullptr) when there is none.
 Dispatcher::Holder Dispatcher::HolderFor(const Backend& backend, const PlacementView& view) const {
   for (const Holder& holder : view.holders) {
     if (holder.backend->region != backend.region) continue;
@@ -159,8 +161,8 @@
 std::optional<Placement> Dispatcher::Choose(const Requester& requester,
                                             const RequestProfile& profile,
                                             const std::vector<BackendKey>& tried, TimePoint now,
-                                            const GrantAuthority& right) {
-  PlacementView view = View(requester, profile, tried, now, right);
+                                            const GrantAuthority& authority) {
+  PlacementView view = View(requester, profile, tried, now, authority);
   if (view.candidates.empty()) return std::nullopt;
   view.requester = &requester;
 
@@ -192,7 +194,7 @@
   placement.load = best_estimate.load;
   placement.candidates = static_cast<int64_t>(view.candidates.size());
   placement.rate_notices_known = now;
-  NoteMetered(&placement, now);
+  SetSendDeadline(&placement, now);
   return placement;
 }
 
--- a/libs/dispatch/src/dispatcher_loss.cc
+++ b/libs/dispatch/src/dispatcher_loss.cc
@@ -1,5 +1,5 @@
-// What a request is expected to lose at a back end, and what it makes others lose there, in
-// requests that miss their goal. One unit for all, so that the terms can be added:
+// Expected loss of placing a request at a back end, for itself and for the streams there, in
+// requests that miss their goal. All terms have this unit, so that they can be added:
 //
 //     loss = P(own goal missed) + sum over streams there of P(this prompt breaks its pauses)
 //            + P(the back end fails it) + prices
@@ -11,9 +11,10 @@
 namespace cartsail {
 namespace {
 
-// From the choice to the first output, beside reading the prompt: two ways and one step.
+// Time from the choice to the first output apart from prefill: one network round trip and one step
+// of the engine.
 constexpr double kSendingMs = 20;
-constexpr double kFullSlots = 0.9;  // share of its slots from which an engine counts as full
+constexpr double kFullSlots = 0.9;  // fraction of slots taken from which an engine counts as full
 
 bool Contains(const std::vector<BackendKey>& keys, BackendKey key) {
   return std::find(keys.begin(), keys.end(), key) != keys.end();
@@ -31,59 +32,63 @@
   return IsOff(Mechanism::kPace) ? 1 : health_.Slowness(backend, now);
 }
 
-// Reading that waits at the engine: what this node follows, and what peers told.
+// Prefill backlog of the engine: what this node follows, plus what peers reported.
 double Dispatcher::BacklogMillis(BackendKey backend, TimePoint now) const {
-  const double of_peers_ms = loads_.OfPeers(backend).prefill_ms * SlownessOf(backend, now);
-  return backlog_.Millis(backend, now) + of_peers_ms;
+  const double peers_ms = loads_.OfPeers(backend).prefill_ms * SlownessOf(backend, now);
+  return backlog_.Millis(backend, now) + peers_ms;
 }
 
-// Peers' attempts are told in digests; a coordinator has followed them itself.
+// Attempts of peers are reported in digests; a coordinator has also followed them itself. The
+// larger record of the two is used.
 double Dispatcher::FailureShareOf(BackendKey backend, TimePoint now) const {
   if (IsOff(Mechanism::kFailureShare)) return 0;
   const RecentAttempts own = health_.Recent(backend, AttemptOrigin::kOwn, now);
   const RecentAttempts followed = health_.Recent(backend, AttemptOrigin::kPeer, now);
-  const BackendLoad told = loads_.OfPeers(backend);
-  const RecentAttempts of_peers =
-      followed.attempts > told.attempts ? followed : RecentAttempts{told.attempts, told.failures};
+  const BackendLoad reported = loads_.OfPeers(backend);
+  const RecentAttempts of_peers = followed.attempts > reported.attempts
+                                      ? followed
+                                      : RecentAttempts{reported.attempts, reported.failures};
   return FailureShare({own.attempts + of_peers.attempts, own.failures + of_peers.failures});
 }
 
-// What it costs to reach the back end.
-double Dispatcher::WayLoss(const Backend& backend, const Requester& requester,
-                           TimePoint now) const {
+// Loss for reaching the back end: another zone, or a new connection.
+double Dispatcher::ConnectionLoss(const Backend& backend, const Requester& requester,
+                                  TimePoint now) const {
   const double zone = backend.zone == requester.zone ? 0 : policy_.other_zone_loss;
   if (IsOff(Mechanism::kIdleConnections)) return zone;
-  // One that was limited has lost its connections to that, and would not get them back.
+  // A back end that withdrew its rate limit recently lost its idle connections because of that
+  // limit; with the penalty it would not regain them.
   const bool connected = Contains(requester.connected, backend.key) ||
                          registry_.Limits().WasWithdrawnRecently(backend.key, now);
   return zone + (connected ? 0 : policy_.new_connection_loss);
 }
 
-// The chance that a prompt of `prefill_ms` behind `backlog_ms` puts a stream beyond `bound`.
-double Dispatcher::BreakChance(BackendKey backend, double backlog_ms, double prefill_ms,
-                               Duration bound) const {
+// Probability that a prompt of `prefill_ms` added to `backlog_ms` makes a stream exceed `bound`.
+double Dispatcher::PauseBreakProbability(BackendKey backend, double backlog_ms, double prefill_ms,
+                                         Duration bound) const {
   if (IsOff(Mechanism::kReadingPause)) return 0;
   return pauses_.AddedBreakProbability(backend, backlog_ms, prefill_ms, bound);
 }
 
-double Dispatcher::LossOfStreams(const Backend& backend, double backlog_ms,
-                                 double prefill_ms) const {
+double Dispatcher::StreamLoss(const Backend& backend, double backlog_ms, double prefill_ms) const {
   if (IsOff(Mechanism::kStreamRisk)) return 0;
   double loss = 0;
   for (const StreamRisk::Exposure& exposure : risk_.At(backend.key)) {
     if (exposure.streams <= 0) continue;
-    loss += exposure.streams * BreakChance(backend.key, backlog_ms, prefill_ms, exposure.bound);
+    loss += exposure.streams *
+            PauseBreakProbability(backend.key, backlog_ms, prefill_ms, exposure.bound);
   }
-  // Peers tell the number of their streams only: the least bound is assumed.
+  // Peers report only the number of their streams: the smallest bound is assumed for them.
   const int64_t of_peers = loads_.OfPeers(backend.key).light_requests;
   if (of_peers > 0 && !risk_.Bounds().empty()) {
-    const double chance = BreakChance(backend.key, backlog_ms, prefill_ms, risk_.Bounds().front());
+    const double chance =
+        PauseBreakProbability(backend.key, backlog_ms, prefill_ms, risk_.Bounds().front());
     loss += static_cast<double>(of_peers) * chance;
   }
   return loss;
 }
 
-// Requests beyond the slots wait until a stream ends; with all slots taken one ends every
+// Requests beyond the available slots wait until streams end; with all slots taken one ends every
 // run time / slots.
 double Dispatcher::WaitForSlotMillis(const RequestProfile& profile, const Backend& backend,
                                      const BackendLoad& load) const {
@@ -108,22 +113,22 @@
   const double in_time = 1 - Logistic((first_output_ms - goal_ms) / spread_ms);
   if (!profile.longest_pause.has_value() || IsOff(Mechanism::kReadingPause)) return 1 - in_time;
   const Duration bound = *profile.longest_pause;
-  double even = 1 - pauses_.BreakProbability(backend.key, backlog_ms, bound);
+  double within_pauses = 1 - pauses_.BreakProbability(backend.key, backlog_ms, bound);
   if (!IsOff(Mechanism::kFutureBreaks)) {
     const Duration life = run_times_.Mean(profile.service, bound);
-    even *= 1 - risk_.FutureBreak(backend.key, bound, life, now);
+    within_pauses *= 1 - risk_.FutureBreak(backend.key, bound, life, now);
   }
-  return 1 - in_time * even;
+  return 1 - in_time * within_pauses;
 }
 
-// A prompt that disturbs is kept off the engines that are set aside for sensitive streams, and
-// these off the others, by the chance that their pauses are broken.
-double Dispatcher::LossElsewhere(const RequestProfile& profile, const Candidate& candidate,
+// Keeps disturbing prompts off the engines that are reserved for sensitive streams, and sensitive
+// streams off the others, in proportion to the probability that pauses are broken.
+double Dispatcher::PartitionLoss(const RequestProfile& profile, const Candidate& candidate,
                                  double prefill_ms) const {
   if (IsOff(Mechanism::kDivision) || risk_.Bounds().empty()) return 0;
   const BackendKey backend = candidate.backend->key;
   if (candidate.for_light) {
-    const double chance = BreakChance(backend, 0, prefill_ms, risk_.Bounds().front());
+    const double chance = PauseBreakProbability(backend, 0, prefill_ms, risk_.Bounds().front());
     return policy_.heavy_elsewhere_loss * chance;
   }
   if (!profile.longest_pause.has_value()) return 0;
@@ -142,13 +147,13 @@
   estimate.first_output_ms = policy_.plain_request_ms;
   const double expected_ms = policy_.plain_request_ms * (1 + busy) * SlownessOf(backend.key, now);
   estimate.loss = expected_ms * policy_.loss_per_ms;
-  estimate.loss += WayLoss(backend, *view.requester, now);
+  estimate.loss += ConnectionLoss(backend, *view.requester, now);
   estimate.loss += FailureShareOf(backend.key, now);
   return estimate;
 }
 
-// What the prompt costs at the candidate: the time to read what no engine hands over, and the
-// price of what is moved or read again.
+// Cost of the prompt at the candidate: the prefill time of what no engine transfers, and the price
+// of what is transferred or processed again.
 Dispatcher::Estimate Dispatcher::EstimatePrompt(const RequestProfile& profile,
                                                 const Candidate& candidate,
                                                 const PlacementView& view) const {
@@ -169,10 +174,10 @@
       estimate.loss = tokens * policy_.loss_per_reread_token;
     }
   }
-  // What another engine is still reading can't be had from there.
-  const int64_t read_twice = view.known_tokens - held;
-  if (read_twice > 0) {
-    estimate.loss += static_cast<double>(read_twice) * policy_.loss_per_reread_token;
+  // What another engine is still processing cannot be transferred from there.
+  const int64_t processed_twice = view.known_tokens - held;
+  if (processed_twice > 0) {
+    estimate.loss += static_cast<double>(processed_twice) * policy_.loss_per_reread_token;
   }
   estimate.prefill_ms = PrefillMillis(held, profile.prompt_tokens);
   return estimate;
@@ -190,12 +195,12 @@
   estimate.first_output_ms +=
       backlog_ms + prefill_ms + kSendingMs + WaitForSlotMillis(profile, backend, estimate.load);
   estimate.loss += OwnLateProbability(profile, backend, estimate.first_output_ms, backlog_ms, now);
-  estimate.loss += LossOfStreams(backend, backlog_ms, prefill_ms);
-  estimate.loss += LossElsewhere(profile, candidate, prefill_ms);
+  estimate.loss += StreamLoss(backend, backlog_ms, prefill_ms);
+  estimate.loss += PartitionLoss(profile, candidate, prefill_ms);
   estimate.loss += FailureShareOf(backend.key, now);
   estimate.loss += estimate.first_output_ms * policy_.loss_per_ms;
   estimate.loss += CrowdingLoss(backend, estimate.load);
-  estimate.loss += WayLoss(backend, *view.requester, now);
+  estimate.loss += ConnectionLoss(backend, *view.requester, now);
   return estimate;
 }
 
--- a/libs/dispatch/src/engine_partition.cc
+++ b/libs/dispatch/src/engine_partition.cc
@@ -6,7 +6,7 @@
 namespace cartsail {
 namespace {
 
-constexpr double kLeastChange = 0.8;  // engines
+constexpr double kMinChange = 0.8;  // smallest change that is followed, in engines
 
 }  // namespace
 
@@ -67,12 +67,12 @@
   const auto total = static_cast<double>(engines);
   const double light = work.light_ms_per_s / 1e3;
   const double heavy = work.heavy_ms_per_s / 1e3;
-  const double wished = std::max(light / policy.light_target_use,
-                                 work.light_requests / (policy.light_slots * work.slots));
-  const double wished_by_heavy = std::max(heavy / policy.heavy_target_use,
+  const double wanted_by_light = std::max(light / policy.light_target_use,
+                                          work.light_requests / (policy.light_slots * work.slots));
+  const double wanted_by_heavy = std::max(heavy / policy.heavy_target_use,
                                           work.heavy_requests / (policy.heavy_slots * work.slots));
-  const double wished_by_all = wished + wished_by_heavy;
-  const double fair = wished_by_all > 0 ? total * wished / wished_by_all : total / 2;
+  const double wanted_in_total = wanted_by_light + wanted_by_heavy;
+  const double fair = wanted_in_total > 0 ? total * wanted_by_light / wanted_in_total : total / 2;
   const double needed =
       std::max(light / policy.light_max_use, work.light_requests / policy.streams_per_engine);
   return std::clamp(std::max(fair, needed), total * policy.min_light_share,
@@ -81,7 +81,7 @@
 
 int64_t LightEngineTarget::Update(double wanted, int64_t engines) {
   if (engines <= 1) return engines;
-  if (current_ == 0 || std::abs(wanted - current_) > kLeastChange) current_ = std::round(wanted);
+  if (current_ == 0 || std::abs(wanted - current_) > kMinChange) current_ = std::round(wanted);
   return std::clamp<int64_t>(std::llround(current_), 1, engines - 1);
 }
 
--- a/libs/dispatch/src/grant_allowances.cc
+++ b/libs/dispatch/src/grant_allowances.cc
@@ -6,7 +6,7 @@
 namespace cartsail {
 namespace {
 
-int64_t WholeRequests(double requests) {
+int64_t AtLeastOneRequest(double requests) {
   return std::max<int64_t>(static_cast<int64_t>(std::floor(requests)), 1);
 }
 
@@ -14,7 +14,7 @@
 
 GrantAllowance AllowanceOfCold(const WarmUp& warm_up, const ColdBound& bound) {
   const double all = warm_up.requests_per_s * bound.rate_factor + bound.burst;
-  return {WholeRequests(all / kMaxGrantingNodes), seconds(1) + kGrantLifetime};
+  return {AtLeastOneRequest(all / kMaxGrantingNodes), seconds(1) + kGrantLifetime};
 }
 
 double GrantedRate(double per_s, double share) { return std::max(per_s, kMinGrantedRate) * share; }
@@ -22,13 +22,14 @@
 std::array<GrantAllowance, 2> AllowancesOfLimited(double per_s, double share, TimePoint first_named,
                                                   const RateLimitBound& bound) {
   const double rate = GrantedRate(per_s, share);
-  const int64_t at_once = WholeRequests(rate / kPacingIntervalsPerSecond);
+  const int64_t at_once = AtLeastOneRequest(rate / kPacingIntervalsPerSecond);
   const GrantAllowance pace{at_once, FromSeconds(static_cast<double>(at_once) / rate)};
   const double in_window = bound.rate_factor * per_s * ToSeconds(bound.window) + bound.burst;
-  // What is sent in one window of the bound was granted within this one.
+  // Requests sent in one window of the bound were granted within this window.
   const Duration window = bound.window + kGrantLifetime;
-  // What was sent before the rate was named counts in the first windows for which the bound holds.
-  const GrantAllowance sum{WholeRequests(kRateBoundShare * in_window), window,
+  // The first windows for which the bound applies also count requests sent before the rate was
+  // advertised.
+  const GrantAllowance sum{AtLeastOneRequest(kRateBoundShare * in_window), window,
                            first_named + bound.hearing - window};
   return {pace, sum};
 }
--- a/libs/dispatch/src/grant_book.cc
+++ b/libs/dispatch/src/grant_book.cc
@@ -19,22 +19,22 @@
   return grant;
 }
 
-const OutstandingGrant* GrantBook::Find(const std::string& node, PlacementQueryId question) const {
+const OutstandingGrant* GrantBook::Find(const std::string& node, PlacementQueryId query) const {
   const auto grants = nodes_.find(node);
   if (grants == nodes_.end()) return nullptr;
-  const auto grant = grants->second.grants.find(question);
+  const auto grant = grants->second.grants.find(query);
   return grant == grants->second.grants.end() ? nullptr : &grant->second;
 }
 
-void GrantBook::Add(const std::string& node, PlacementQueryId question,
+void GrantBook::Add(const std::string& node, PlacementQueryId query,
                     const OutstandingGrant& grant) {
-  nodes_[node].grants[question] = grant;
+  nodes_[node].grants[query] = grant;
 }
 
-std::optional<PlacementTicket> GrantBook::Take(const std::string& node, PlacementQueryId question) {
+std::optional<PlacementTicket> GrantBook::Take(const std::string& node, PlacementQueryId query) {
   const auto grants = nodes_.find(node);
   if (grants == nodes_.end()) return std::nullopt;
-  const auto grant = grants->second.grants.find(question);
+  const auto grant = grants->second.grants.find(query);
   if (grant == grants->second.grants.end()) return std::nullopt;
   const PlacementTicket ticket = grant->second.ticket;
   grants->second.grants.erase(grant);
@@ -70,7 +70,7 @@
       ++entry;
       continue;
     }
-    for (const auto& [question, grant] : entry->second.grants) ended.push_back(grant.ticket);
+    for (const auto& [query, grant] : entry->second.grants) ended.push_back(grant.ticket);
     entry = nodes_.erase(entry);
   }
   return ended;
--- a/libs/dispatch/src/grant_limiter.cc
+++ b/libs/dispatch/src/grant_limiter.cc
@@ -8,15 +8,15 @@
 
 using Grants = std::vector<TimePoint>;
 
-// The first grant that is later than `time`.
-Grants::const_iterator LaterThan(const Grants& grants, TimePoint time) {
+// The first grant after `time`.
+Grants::const_iterator FirstAfter(const Grants& grants, TimePoint time) {
   return std::upper_bound(grants.begin(), grants.end(), time);
 }
 
-// Keeps the newest one.
-void DropPassed(Grants* grants, TimePoint now) {
+// Drops grants older than kLongestWindow, but keeps the newest one.
+void DropExpired(Grants* grants, TimePoint now) {
   if (grants->empty()) return;
-  const auto kept = LaterThan(*grants, now - GrantLimiter::kLongestWindow);
+  const auto kept = FirstAfter(*grants, now - GrantLimiter::kLongestWindow);
   grants->erase(grants->begin(), std::min(kept, std::prev(grants->cend())));
 }
 
@@ -24,7 +24,7 @@
 
 void GrantLimiter::NoteGrant(BackendKey backend, TimePoint now) {
   Grants& grants = granted_[backend];
-  DropPassed(&grants, now);
+  DropExpired(&grants, now);
   grants.push_back(now);
 }
 
@@ -41,9 +41,10 @@
 }
 
 void GrantLimiter::Expire(TimePoint now) {
-  for (auto& [backend, grants] : granted_) DropPassed(&grants, now);
-  std::erase_if(granted_,
-                [now](const auto& entry) { return now - entry.second.back() >= kLongestPause; });
+  for (auto& [backend, grants] : granted_) DropExpired(&grants, now);
+  std::erase_if(granted_, [now](const auto& entry) {
+    return now - entry.second.back() >= kLongestSingleGrantWindow;
+  });
 }
 
 }  // namespace cartsail
--- a/libs/dispatch/src/pause_model.cc
+++ b/libs/dispatch/src/pause_model.cc
@@ -8,32 +8,34 @@
 namespace cartsail {
 namespace {
 
-// A base pause grows by this factor with each slower stream, so that it follows an engine that
-// turns slow within some hundred streams.
+// The base pause grows by this factor with each slower stream, so that it follows an engine that
+// becomes slow within a few hundred streams.
 constexpr double kBaseRelaxation = 1.002;
-// Only a backlog of that many base pauses shows whether the engine bounds what falls between
-// events.
-constexpr double kLeastTellingBacklog = 3;
-// A longest pause below this share of what the backlog alone would give was bounded by the engine.
-constexpr double kBoundedShare = 0.6;
-// Weight of one stream in an engine's reading pause: a longer one raises it soon, since the pause
-// is an upper bound; shorter ones lower it slowly, since the reading may have been in pieces.
+// Only a backlog of at least this many base pauses shows whether the engine limits the prefill
+// between events.
+constexpr double kMinInformativeBacklog = 3;
+// A longest pause below this fraction of what the backlog alone would cause was limited by the
+// engine.
+constexpr double kEngineLimitedShare = 0.6;
+// Weight of one stream in an engine's prefill pause. A longer pause raises it quickly, since it is
+// an upper bound. Shorter ones lower it slowly, since the prefill may have been in pieces.
 constexpr double kReadingRise = 0.5;
 constexpr double kReadingFall = 0.01;
-// The first streams of an engine weigh more when they lower it: 0.3, 0.15, 0.1 and so on.
+// The first streams of an engine have more weight when they lower the pause: 0.3, 0.15, 0.1 and so
+// on.
 constexpr double kFirstReadingFall = 0.3;
-constexpr double kTypicalWeight = 0.05;  // of one stream in the figures over all engines
-// The figures over all engines count as many streams of an engine as this.
+constexpr double kTypicalWeight = 0.05;  // weight of one stream in the averages over all engines
+// The averages over all engines have the weight of this many streams of an engine.
 constexpr double kTypicalStreams = 3;
-// A longest pause of that many times the reading pause has another cause (a lost packet, a frozen
-// machine) and counts as this many times.
+// A longest pause beyond this multiple of the known pause has another cause (a lost packet, a
+// stalled machine) and is capped at this multiple.
 constexpr double kOutlierFactor = 1.5;
-// Spread of the longest pause around the expected one, as a share of the bound: measured pauses of
-// one engine under steady reading lie within 5 to 8 in 100 of each other.
+// Spread of the longest pause around the expected one, as a fraction of the bound: measured pauses
+// of one engine under steady prefill lie within 5 to 8 % of each other.
 constexpr double kPauseSpread = 0.06;
 
-// Shares of the estimated backlog that are weighed as equally likely: prompts are read at a rate
-// that is known to about a quarter.
+// Fractions of the estimated backlog that are considered equally likely: the prefill rate is known
+// to within about 25 %.
 constexpr std::array<double, 3> kBacklogShares = {0.75, 1.0, 1.3};
 
 void Approach(double sample, double weight, double* value) {
@@ -52,10 +54,10 @@
 
 void PauseModel::NoteReading(double longest_ms, double backlog_ms, Record* record) {
   const double base = BaseOrTypical(*record);
-  if (longest_ms <= 0 || base == 0 || backlog_ms < kLeastTellingBacklog * base) return;
+  if (longest_ms <= 0 || base == 0 || backlog_ms < kMinInformativeBacklog * base) return;
   const double between_ms = std::max(longest_ms - base, 0.0);
   const double known = BetweenOrTypical(*record);
-  const bool bounded = between_ms < kBoundedShare * backlog_ms;
+  const bool bounded = between_ms < kEngineLimitedShare * backlog_ms;
   const bool longer = known != 0 && between_ms > known;
   if (!bounded && !longer) return;
   const double sample = known == 0 ? between_ms : std::min(between_ms, kOutlierFactor * known);
--- a/libs/dispatch/src/prefill_backlog.cc
+++ b/libs/dispatch/src/prefill_backlog.cc
@@ -5,10 +5,10 @@
 namespace cartsail {
 namespace {
 
-constexpr Duration kPeaksKept = seconds(10);  // longer than nearly all streams run
+constexpr Duration kPeaksKept = seconds(10);  // longer than almost all streams run
 
-// From the moment a prompt is read to the moment this node hears of its first output: a step of the
-// engine, two ways, and messages between nodes that are sent together.
+// Delay from the end of a prefill until this node learns of the first output: one step of the
+// engine, a network round trip, and batching of messages between nodes.
 constexpr Duration kOutputDelay = milliseconds(40);
 
 }  // namespace
@@ -16,7 +16,8 @@
 double PrefillBacklog::LeftMillis(const Queue& queue, TimePoint now) {
   if (queue.prompts == 0) return 0;
   if (now <= queue.busy_until) return std::min(ToMillis(queue.busy_until - now), queue.unread_ms);
-  // Overdue: the engine is slower than expected, or silent. As much again is expected.
+  // Overdue: the engine is slower than expected or does not respond. The backlog is estimated as
+  // the time overdue.
   return std::max(0.0, ToMillis(now - queue.busy_until - kOutputDelay));
 }
 
@@ -40,10 +41,10 @@
   const auto entry = queues_.find(backend);
   if (entry == queues_.end()) return;
   Queue& queue = entry->second;
-  if (queue.prompts == 0) return;  // placed before the engine was forgotten
+  if (queue.prompts == 0) return;  // added before the engine was forgotten
   --queue.prompts;
   queue.unread_ms = queue.prompts == 0 ? 0 : std::max(0.0, queue.unread_ms - prefill_ms);
-  // What is left can't take longer than this, whatever was expected before.
+  // The remaining prompts cannot take longer than this, whatever was expected before.
   const TimePoint latest = now + FromSeconds(queue.unread_ms / 1e3);
   queue.busy_until = std::min(queue.busy_until, latest);
 }
--- a/libs/dispatch/src/probability.cc
+++ b/libs/dispatch/src/probability.cc
@@ -5,8 +5,8 @@
 namespace cartsail {
 namespace {
 
-// Beyond this many spreads a chance is below 0.0004 and taken for none: most prompts are short, and
-// the exponential is what placement spends most time on.
+// Beyond this many spreads the probability is below 0.0004 and taken as 0: most prompts are short,
+// and evaluating the exponential takes most of the time of a placement.
 constexpr double kTail = 8;
 
 }  // namespace
--- a/libs/dispatch/src/run_time.cc
+++ b/libs/dispatch/src/run_time.cc
@@ -3,7 +3,8 @@
 namespace cartsail {
 namespace {
 
-constexpr double kWeight = 0.02;  // of one stream: some seconds of traffic of a service
+// weight of one stream; averages over a few seconds of a service's traffic
+constexpr double kWeight = 0.02;
 
 }  // namespace
 
--- a/libs/dispatch/src/service_pools.cc
+++ b/libs/dispatch/src/service_pools.cc
@@ -7,16 +7,17 @@
 namespace cartsail {
 namespace {
 
-constexpr Duration kShortestKept = milliseconds(10);
-// A large pool is kept for so long for each member: 40,000 of them are looked at in a second,
-// however many there are.
-constexpr Duration kKeptPerMember = std::chrono::microseconds(25);
-// An engine whose events follow each other that much slower than the fastest one's is kept for
-// heavy requests.
+constexpr Duration kMinPoolLifetime = milliseconds(10);
+// Time for which a large pool is kept, per member: at most 40,000 members are examined a second,
+// whatever the size of the pool.
+constexpr Duration kPoolLifetimePerMember = std::chrono::microseconds(25);
+// An engine whose base pause is longer than the fastest engine's by more than this factor is
+// assigned to light requests last, and thus mostly serves heavy ones.
 constexpr double kSlowEngineRatio = 1.15;
 
-Duration KeptFor(size_t members) {
-  return std::max<Duration>(kShortestKept, static_cast<int64_t>(members) * kKeptPerMember);
+Duration PoolLifetime(size_t members) {
+  return std::max<Duration>(kMinPoolLifetime,
+                            static_cast<int64_t>(members) * kPoolLifetimePerMember);
 }
 
 }  // namespace
@@ -35,12 +36,12 @@
 const ServicePool& ServicePools::Of(const std::string& service, const Inputs& inputs,
                                     TimePoint now) {
   Pool& pool = pools_[service];
-  const bool is_old = now - pool.made > KeptFor(pool.ordered.size());
+  const bool is_expired = now - pool.made > PoolLifetime(pool.ordered.size());
   const bool has_changed = pool.registry_changes != inputs.registry.Changes();
-  if (has_changed && (is_old || pool.ordered.size() <= kSmallPool)) {
+  if (has_changed && (is_expired || pool.ordered.size() <= kSmallPool)) {
     List(service, inputs, &pool);
     Divide(service, inputs, now, &pool);
-  } else if (is_old) {
+  } else if (is_expired) {
     Divide(service, inputs, now, &pool);
   }
   return pool.pool;
@@ -58,11 +59,11 @@
             });
 }
 
-// The first ones serve light requests, slow ones last.
+// Assigns the first members to light requests; slow engines come last.
 void ServicePools::Divide(const std::string& service, const Inputs& inputs, TimePoint now,
                           Pool* pool) {
   pool->made = now;
-  looked_ += static_cast<int64_t>(pool->ordered.size());
+  examined_ += static_cast<int64_t>(pool->ordered.size());
   const double slow_pause = inputs.pauses.FastestBase() * kSlowEngineRatio;
   const auto is_slow = [&inputs, slow_pause](const OrderedBackend& backend) {
     return inputs.pauses.BasePause(backend.key) > slow_pause;
@@ -70,9 +71,9 @@
   const auto light = static_cast<size_t>(LightCount(service, inputs, now, pool));
   std::vector<PoolMember> members;
   members.reserve(pool->ordered.size());
-  for (const bool wants_slow : {false, true}) {
+  for (const bool slow : {false, true}) {
     for (const OrderedBackend& backend : pool->ordered) {
-      if (is_slow(backend) != wants_slow) continue;
+      if (is_slow(backend) != slow) continue;
       members.push_back({backend.key, members.size() < light});
     }
   }
--- a/libs/dispatch/src/stream_risk.cc
+++ b/libs/dispatch/src/stream_risk.cc
@@ -6,14 +6,15 @@
 namespace cartsail {
 namespace {
 
-// What came at an engine longer ago tells little of what will come: placement moves work about.
-constexpr Duration kMemory = seconds(3);
-// Bounds the sum of logarithms: past it no stream is taken to be in time.
-constexpr double kMostChance = 0.999;
+// Decay time of recorded breaks: older ones say little about future ones, because placement moves
+// work between engines.
+constexpr Duration kBreakDecayTime = seconds(3);
+// Bounds the sum of logarithms; beyond it no stream counts as within its bound.
+constexpr double kMaxProbability = 0.999;
 
-double Faded(const StreamRisk::Exposure& exposure, TimePoint now) {
+double DecayedBreaks(const StreamRisk::Exposure& exposure, TimePoint now) {
   const double age = std::max(0.0, ToSeconds(now - exposure.updated));
-  return exposure.recent_breaks * std::exp(-age / ToSeconds(kMemory));
+  return exposure.recent_breaks * std::exp(-age / ToSeconds(kBreakDecayTime));
 }
 
 const StreamRisk::Exposure* FindIn(const std::vector<StreamRisk::Exposure>& exposures,
@@ -56,11 +57,11 @@
 
 void StreamRisk::NotePrompt(BackendKey backend, Duration bound, double chance, TimePoint now) {
   if (chance <= 0) return;
-  const double bounded = std::min(chance, kMostChance);
+  const double bounded = std::min(chance, kMaxProbability);
   Exposure& exposure = ExposureOf(backend, bound);
   exposure.streams *= 1 - bounded;
   exposure.log_survival += std::log1p(-bounded);
-  exposure.recent_breaks = Faded(exposure, now) + bounded;
+  exposure.recent_breaks = DecayedBreaks(exposure, now) + bounded;
   exposure.updated = now;
 }
 
@@ -74,7 +75,7 @@
                                TimePoint now) const {
   const Exposure* exposure = FindIn(At(backend), bound);
   if (exposure == nullptr) return 0;
-  const double breaks_per_second = Faded(*exposure, now) / ToSeconds(kMemory);
+  const double breaks_per_second = DecayedBreaks(*exposure, now) / ToSeconds(kBreakDecayTime);
   return 1 - std::exp(-breaks_per_second * ToSeconds(lifetime));
 }
 
