--- a/libs/dispatch/tests/brittle_back_ends_test.cc
+++ b/libs/dispatch/tests/brittle_back_ends_test.cc
@@ -1,5 +1,5 @@
-// Engines that end when they turn away too much: what a dispatcher sends them, and what it does
-// when one has turned a request away.
+// Engines that exit when they refuse too many requests: what a dispatcher sends them, and what it
+// does after a refusal.
 #include "cartsail/dispatch/brittle_back_ends.h"
 
 #include <string>
@@ -13,8 +13,8 @@
 
 const TimePoint kStart = TimePoint(seconds(100));
 constexpr int64_t kSlots = 8;
-constexpr double kBears = 6;
-const GrantAuthority kWhole{true, 1};
+constexpr double kToleratedRefusalsPerS = 6;
+const GrantAuthority kFullAuthority{true, 1};
 
 RequestProfile Profile() {
   RequestProfile profile;
@@ -35,18 +35,18 @@
     }
   }
 
-  void NameAll(TimePoint now) {
+  void MarkAllBrittle(TimePoint now) {
     for (const Backend& engine : dispatcher.Registry().All()) {
-      RateNotice word;
-      word.per_s = kBears;
-      word.asked = now;
-      word.read = {now, {}};
-      (void)dispatcher.Registry().NoteBrittle(engine.key, word);
+      RateNotice notice;
+      notice.per_s = kToleratedRefusalsPerS;
+      notice.asked = now;
+      notice.read = {now, {}};
+      (void)dispatcher.Registry().NoteBrittle(engine.key, notice);
     }
   }
 
   std::optional<Placement> Place(TimePoint now) {
-    return dispatcher.Place(Profile(), {}, now, {}, kWhole);
+    return dispatcher.Place(Profile(), {}, now, {}, kFullAuthority);
   }
 
   Dispatcher dispatcher;
@@ -58,51 +58,53 @@
   return placed;
 }
 
-Test(brittle_back_ends, those_that_say_nothing_get_what_they_got) {
+Test(brittle_back_ends, engines_without_the_notice_are_not_limited) {
   Engines engines(2);
   cr_assert(PlacedAtOnce(engines, kStart, 100) == 100);
 }
 
-// 100 requests at one moment: the sure room of both, and half of what they bear to turn away.
-Test(brittle_back_ends, a_burst_goes_no_further_than_their_room) {
+// Of 100 simultaneous requests, placed are the safe room of both engines and half of the refusals
+// that they tolerate.
+Test(brittle_back_ends, a_burst_is_limited_to_their_room) {
   Engines engines(2);
-  engines.NameAll(kStart);
+  engines.MarkAllBrittle(kStart);
   const int placed = PlacedAtOnce(engines, kStart, 100);
   cr_assert(placed == 2 * 6, "%d", placed);
-  const auto wait = engines.dispatcher.MeteredWait(Profile(), {}, kStart, kWhole);
-  cr_assert(wait.has_value() && *wait > Duration(0), "the others are told when to come back");
+  const auto wait = engines.dispatcher.MeteredWait(Profile(), {}, kStart, kFullAuthority);
+  cr_assert(wait.has_value() && *wait > Duration(0), "other callers are told when to retry");
 }
 
-// One falls: its load must not fell the next one.
-Test(brittle_back_ends, one_that_turns_away_rests_and_the_others_get_no_more_than_their_room) {
+// When one engine fails, its load must not make the next one fail.
+Test(brittle_back_ends, a_refusal_pauses_one_engine_and_the_others_stay_limited) {
   Engines engines(2);
-  engines.NameAll(kStart);
+  engines.MarkAllBrittle(kStart);
   const auto first = engines.Place(kStart);
   engines.dispatcher.Finish(first->ticket, AttemptOutcome::kRefused, kStart);
-  int at_resting = 0;
+  int at_paused = 0;
   int at_other = 0;
   while (const auto placement = engines.Place(kStart + milliseconds(500))) {
-    ++(placement->backend.key == first->backend.key ? at_resting : at_other);
+    ++(placement->backend.key == first->backend.key ? at_paused : at_other);
   }
-  cr_assert(at_resting == 0 && at_other == 6, "%d and %d", at_resting, at_other);
-  cr_assert(engines.Place(kStart + milliseconds(1300)).has_value(), "it has rested");
+  cr_assert(at_paused == 0 && at_other == 6, "%d and %d", at_paused, at_other);
+  cr_assert(engines.Place(kStart + milliseconds(1300)).has_value(),
+            "the pause after the refusal has passed");
 }
 
-Test(brittle_back_ends, a_node_without_the_right_sends_none) {
+Test(brittle_back_ends, a_node_without_grant_authority_places_none) {
   Engines engines(1);
-  engines.NameAll(kStart);
+  engines.MarkAllBrittle(kStart);
   cr_assert(!engines.dispatcher.Place(Profile(), {}, kStart, {}, {}).has_value());
 }
 
-// The word is taken back by an answer of a run that does not name it.
-Test(brittle_back_ends, they_are_free_again_when_they_say_so) {
+// The answer to a request that ran withdraws the notice by not repeating it.
+Test(brittle_back_ends, a_withdrawn_notice_lifts_the_limit) {
   Engines engines(1);
-  engines.NameAll(kStart);
-  RateNotice word;
-  word.asked = kStart + seconds(1);
-  word.read = {kStart + seconds(1), {}};
+  engines.MarkAllBrittle(kStart);
+  RateNotice notice;
+  notice.asked = kStart + seconds(1);
+  notice.read = {kStart + seconds(1), {}};
   const BackendKey key = engines.dispatcher.Registry().All().front().key;
-  (void)engines.dispatcher.Registry().NoteBrittle(key, word);
+  (void)engines.dispatcher.Registry().NoteBrittle(key, notice);
   cr_assert(PlacedAtOnce(engines, kStart + seconds(2), 50) == 50);
 }
 
--- a/libs/dispatch/tests/lost_back_ends_test.cc
+++ b/libs/dispatch/tests/lost_back_ends_test.cc
@@ -1,5 +1,5 @@
-// Back ends that lost connections and may have started again since: what ends that doubt, and what
-// callers get meanwhile.
+// Back ends whose connections were lost and that may have restarted since: what shows that they are
+// warm, and what callers get meanwhile.
 #include <set>
 #include <string>
 #include <vector>
@@ -13,18 +13,18 @@
 
 const TimePoint kStart = TimePoint(seconds(1000));
 const WarmUp kWarmUp{seconds(1), 8};
-const GrantAuthority kAll{true, 1};
+const GrantAuthority kFullAuthority{true, 1};
 constexpr Duration kStep = milliseconds(10);
 constexpr int kEnginesOfZone = 4;
-constexpr size_t kMostQuestions = 32;
+constexpr size_t kMaxQueries = 32;
 
-RequestProfile Question() {
+RequestProfile MakeProfile() {
   RequestProfile profile;
   profile.service = "s";
   return profile;
 }
 
-// Two zones of engines, each of which tells how long it stays cold when it is asked.
+// Two zones of engines, each of which reports how long it stays cold when it is queried.
 class Fleet {
  public:
   explicit Fleet(const std::string& health_path = "/health") {
@@ -39,37 +39,39 @@
     }
   }
 
-  Dispatcher& Nodes() { return dispatcher_; }
+  Dispatcher& UnderTest() { return dispatcher_; }
 
-  // Each engine of the zone loses a request.
-  void Lose(const std::string& zone, TimePoint now) {
+  // Cuts the connection of one request at each engine of `zone`.
+  void CutConnections(const std::string& zone, TimePoint now) {
     for (const Backend& engine : dispatcher_.Registry().All()) {
       if (engine.zone != zone) continue;
-      const auto placement = dispatcher_.Place(Question(), AllBut(engine.key), now, {}, kAll);
+      const auto placement =
+          dispatcher_.Place(MakeProfile(), AllBut(engine.key), now, {}, kFullAuthority);
       if (!placement.has_value()) continue;
       dispatcher_.Finish(placement->ticket, AttemptOutcome::kCut, now);
     }
   }
 
-  // Engines that are asked answer at once, all but those in `silent`.
-  void Step(TimePoint now) {
-    for (const Backend& engine : dispatcher_.TakeWarmthQueries("s", kMostQuestions, now)) {
-      ++questions_;
-      if (silent_.contains(engine.id)) continue;
+  // Answers the warmth queries that are due at `now`, except for engines in `unanswering_`.
+  void AnswerQueries(TimePoint now) {
+    for (const Backend& engine : dispatcher_.TakeWarmthQueries("s", kMaxQueries, now)) {
+      ++query_count_;
+      if (unanswering_.contains(engine.id)) continue;
       const Duration left = std::max(cold_until_ - now, Duration(0));
       (void)dispatcher_.NoteWarmth(engine.key, {left, now}, now + milliseconds(1));
     }
   }
 
-  // How many of `per_step` requests in each step until `end` get an engine, and which share.
+  // Places `per_step` requests in each step from `*now` until `end`, which must be later, and
+  // advances `*now`. Returns the share that got an engine, 0 to 1.
   double ServedShare(TimePoint* now, TimePoint end, int per_step) {
     int asked = 0;
     int placed = 0;
     for (; *now < end; *now += kStep) {
-      Step(*now);
+      AnswerQueries(*now);
       for (int i = 0; i < per_step; ++i) {
         ++asked;
-        const auto placement = dispatcher_.Place(Question(), {}, *now, {}, kAll);
+        const auto placement = dispatcher_.Place(MakeProfile(), {}, *now, {}, kFullAuthority);
         if (!placement.has_value()) continue;
         ++placed;
         dispatcher_.Finish(placement->ticket, AttemptOutcome::kAnswered, *now + milliseconds(2));
@@ -78,9 +80,9 @@
     return static_cast<double>(placed) / asked;
   }
 
-  void Silence(const std::string& id) { silent_.insert(id); }
+  void StopAnswering(const std::string& id) { unanswering_.insert(id); }
   void StayColdUntil(TimePoint until) { cold_until_ = until; }
-  int Questions() const { return questions_; }
+  int QueryCount() const { return query_count_; }
 
  private:
   void Add(const std::string& id, const std::string& zone) {
@@ -98,62 +100,65 @@
   }
 
   Dispatcher dispatcher_{PlacementPolicy(), "z1"};
-  std::set<std::string> silent_;
+  std::set<std::string> unanswering_;
   TimePoint cold_until_ = kStart;
-  int questions_ = 0;
+  int query_count_ = 0;
 };
 
-// The engines of a zone are lost, and 4.7 s later those of the other one are drained.
-void CheckDrainOfTheOthers(Fleet& fleet) {
-  fleet.Lose("z1", kStart);
+// The engines of one zone lose connections, and 4.7 s later the other zone is drained: no request
+// may be refused.
+void CheckServedAfterDrainOfOtherZone(Fleet& fleet) {
+  fleet.CutConnections("z1", kStart);
   TimePoint now = kStart + kStep;
   cr_assert(fleet.ServedShare(&now, kStart + milliseconds(4700), 1) == 1);
-  fleet.Nodes().Registry().DrainZone("z2", now);
+  fleet.UnderTest().Registry().DrainZone("z2", now);
   const double served = fleet.ServedShare(&now, now + milliseconds(1400), 6);
   cr_assert(served == 1, "%.3f", served);
 }
 
-// Four engines lost connections, got no request since, as the others looked as good, and were then
-// the only ones left: three quarters of the requests were refused for more than a second.
-Test(lost_back_ends, serve_at_once_when_a_drain_leaves_only_them) {
+// Guards against refusing three quarters of the requests for more than a second: four engines lost
+// connections, got no request since because the others looked as good, and were then the only ones
+// left.
+Test(lost_back_ends, serve_at_once_when_a_drain_leaves_no_others) {
   Fleet fleet;
-  CheckDrainOfTheOthers(fleet);
+  CheckServedAfterDrainOfOtherZone(fleet);
 }
 
-// Also where nothing but them was there from the first moment on.
-Test(lost_back_ends, serve_as_soon_as_they_have_told_that_they_are_warm) {
+// Only lost engines are available from the start.
+Test(lost_back_ends, serve_once_they_report_that_they_are_warm) {
   Fleet fleet;
-  fleet.Nodes().Registry().DrainZone("z2", kStart);
-  fleet.Lose("z1", kStart);
+  fleet.UnderTest().Registry().DrainZone("z2", kStart);
+  fleet.CutConnections("z1", kStart);
   TimePoint now = kStart + kStep;
   (void)fleet.ServedShare(&now, kStart + milliseconds(200), 6);
-  cr_assert(fleet.Nodes().ColdOf("s", now).empty());
+  cr_assert(fleet.UnderTest().ColdOf("s", now).empty());
   cr_assert(fleet.ServedShare(&now, now + seconds(1), 6) == 1);
 }
 
-// A question counts as a request, and those that did start again are still cold for as long as they
-// tell.
-Test(lost_back_ends, that_started_again_get_no_more_than_cold_ones_bear) {
+// A warmth query counts as a request, and engines that did restart stay cold for as long as they
+// report.
+Test(lost_back_ends, that_restarted_get_at_most_the_cold_allowance) {
   Fleet fleet;
-  fleet.Nodes().Registry().DrainZone("z2", kStart);
-  fleet.Lose("z1", kStart);
+  fleet.UnderTest().Registry().DrainZone("z2", kStart);
+  fleet.CutConnections("z1", kStart);
   fleet.StayColdUntil(kStart + seconds(3));
   const int64_t most = AllowanceOfCold(kWarmUp, ColdBound()).most;
   TimePoint now = kStart + kStep;
-  // To one of them: the request that was lost, questions, requests.
+  // What engine a0 receives: the request that was cut, warmth queries, and placed requests.
   std::vector<TimePoint> sent = {kStart};
   const BackendKey engine = KeyOf("a0");
   std::vector<BackendKey> others;
-  for (const Backend& other : fleet.Nodes().Registry().All()) {
+  for (const Backend& other : fleet.UnderTest().Registry().All()) {
     if (other.key != engine) others.push_back(other.key);
   }
   for (; now < kStart + seconds(3); now += kStep) {
-    const int before = fleet.Questions();
-    fleet.Step(now);
-    // All four are asked at the same moments.
-    if (fleet.Questions() > before) sent.push_back(now);
+    const int before = fleet.QueryCount();
+    fleet.AnswerQueries(now);
+    // All four engines are queried at the same times.
+    if (fleet.QueryCount() > before) sent.push_back(now);
     for (int i = 0; i < 6; ++i) {
-      const auto placement = fleet.Nodes().Place(Question(), others, now, {}, kAll);
+      const auto placement =
+          fleet.UnderTest().Place(MakeProfile(), others, now, {}, kFullAuthority);
       if (placement.has_value()) sent.push_back(now);
     }
   }
@@ -165,56 +170,58 @@
   cr_assert(fleet.ServedShare(&now, now + seconds(1), 6) == 1, "warm as they told");
 }
 
-Test(lost_back_ends, are_asked_less_and_less_often_where_they_do_not_answer) {
+Test(lost_back_ends, are_queried_less_often_when_they_do_not_answer) {
   Fleet fleet;
-  for (int i = 0; i < kEnginesOfZone; ++i) fleet.Silence("a" + std::to_string(i));
-  fleet.Lose("z1", kStart);
-  for (TimePoint now = kStart; now < kStart + seconds(20); now += kStep) fleet.Step(now);
-  const int each = fleet.Questions() / kEnginesOfZone;
+  for (int i = 0; i < kEnginesOfZone; ++i) fleet.StopAnswering("a" + std::to_string(i));
+  fleet.CutConnections("z1", kStart);
+  for (TimePoint now = kStart; now < kStart + seconds(20); now += kStep) fleet.AnswerQueries(now);
+  const int each = fleet.QueryCount() / kEnginesOfZone;
   cr_assert(each >= 8 && each <= 20, "%d", each);
 }
 
-// What it told is of the process before it was lost again.
-Test(lost_back_ends, lost_again_are_held_for_cold_again) {
+// An answer from before the second loss describes the process before that loss.
+Test(lost_back_ends, lost_again_count_as_cold_again) {
   Fleet fleet;
-  fleet.Lose("z1", kStart);
-  fleet.Step(kStart + milliseconds(100));
-  cr_assert(fleet.Nodes().ColdOf("s", kStart + milliseconds(110)).empty());
-  fleet.Lose("z1", kStart + milliseconds(200));
-  cr_assert(fleet.Nodes().ColdOf("s", kStart + milliseconds(210)).size() == kEnginesOfZone);
+  fleet.CutConnections("z1", kStart);
+  fleet.AnswerQueries(kStart + milliseconds(100));
+  cr_assert(fleet.UnderTest().ColdOf("s", kStart + milliseconds(110)).empty());
+  fleet.CutConnections("z1", kStart + milliseconds(200));
+  cr_assert(fleet.UnderTest().ColdOf("s", kStart + milliseconds(210)).size() == kEnginesOfZone);
   const TimePoint before = kStart + milliseconds(150);
-  cr_assert(!fleet.Nodes().NoteWarmth(KeyOf("a0"), {Duration(0), before}, kStart + seconds(1)));
+  cr_assert(!fleet.UnderTest().NoteWarmth(KeyOf("a0"), {Duration(0), before}, kStart + seconds(1)));
 }
 
-Test(lost_back_ends, of_a_drained_zone_or_that_back_off_are_not_asked) {
+Test(lost_back_ends, drained_or_backing_off_are_not_queried) {
   Fleet fleet;
-  fleet.Lose("z1", kStart);
-  fleet.Nodes().NoteNotice(KeyOf("a0"), {false, seconds(60)}, kStart);
+  fleet.CutConnections("z1", kStart);
+  fleet.UnderTest().NoteNotice(KeyOf("a0"), {false, seconds(60)}, kStart);
   const TimePoint now = kStart + milliseconds(100);
-  fleet.Step(now);
-  cr_assert(fleet.Questions() == kEnginesOfZone - 1, "%d", fleet.Questions());
+  fleet.AnswerQueries(now);
+  cr_assert(fleet.QueryCount() == kEnginesOfZone - 1, "%d", fleet.QueryCount());
   Fleet drained;
-  drained.Lose("z1", kStart);
-  drained.Nodes().Registry().DrainZone("z1", kStart);
-  drained.Step(now);
-  cr_assert(drained.Questions() == 0);
+  drained.CutConnections("z1", kStart);
+  drained.UnderTest().Registry().DrainZone("z1", kStart);
+  drained.AnswerQueries(now);
+  cr_assert(drained.QueryCount() == 0);
 }
 
-// Each gets one of the requests that go to the others, and is warm by its answer.
-Test(lost_back_ends, that_can_not_be_asked_are_tried_before_a_drain_leaves_only_them) {
+// Without a health path, each lost engine gets one of the requests that go to the others, and is
+// warm again through its answer.
+Test(lost_back_ends, without_health_path_are_tried_before_a_drain_leaves_no_others) {
   Fleet fleet("");
-  CheckDrainOfTheOthers(fleet);
-  cr_assert(fleet.Questions() == 0);
+  CheckServedAfterDrainOfOtherZone(fleet);
+  cr_assert(fleet.QueryCount() == 0);
 }
 
-// Nothing else is left from the first moment on: their first answers and the time of warming up.
-Test(lost_back_ends, that_can_not_be_asked_serve_after_their_first_answers) {
+// Only lost engines without a health path are available from the start: they serve all requests
+// once they have answered first and the warm-up length has passed.
+Test(lost_back_ends, without_health_path_serve_after_their_first_answers) {
   Fleet fleet("");
-  fleet.Nodes().Registry().DrainZone("z2", kStart);
-  fleet.Lose("z1", kStart);
+  fleet.UnderTest().Registry().DrainZone("z2", kStart);
+  fleet.CutConnections("z1", kStart);
   TimePoint now = kStart + kStep;
   (void)fleet.ServedShare(&now, now + kWarmUp.length + milliseconds(300), 6);
-  cr_assert(fleet.Questions() == 0);
+  cr_assert(fleet.QueryCount() == 0);
   cr_assert(fleet.ServedShare(&now, now + seconds(1), 6) == 1);
 }
 
--- a/libs/dispatch/tests/warm_up_test.cc
+++ b/libs/dispatch/tests/warm_up_test.cc
@@ -1,4 +1,5 @@
-// Cold back ends: who is cold and why, how many requests one node grants, where the others go.
+// Cold back ends: which are cold and why, how many requests one node grants them, and where the
+// other requests go.
 #include <algorithm>
 #include <map>
 #include <random>
@@ -14,8 +15,9 @@
 constexpr Duration kLength = seconds(3);
 const WarmUp kWarmUp{kLength, 8.6};
 const ColdBound kBound;
-const GrantAuthority kAll{true, 1};
-// What is sent in one second was granted within this time.
+const GrantAuthority kFullAuthority{true, 1};
+// Requests sent within one second were granted within this window, as a grant may be used until
+// kGrantLifetime after it was issued.
 constexpr Duration kWindow = seconds(1) + kGrantLifetime;
 const GrantAllowance kFive{5, kWindow};
 const GrantAllowance kTwo{2, kWindow};
@@ -43,7 +45,7 @@
   return backend;
 }
 
-RequestProfile Question() {
+RequestProfile MakeProfile() {
   RequestProfile profile;
   profile.service = "llm";
   profile.is_generation = true;
@@ -59,15 +61,16 @@
   return dispatcher;
 }
 
-std::optional<Placement> Place(Dispatcher& dispatcher, TimePoint now, const GrantAuthority& right) {
-  return dispatcher.Place(Question(), {}, now, {}, right);
+std::optional<Placement> Place(Dispatcher& dispatcher, TimePoint now,
+                               const GrantAuthority& authority) {
+  return dispatcher.Place(MakeProfile(), {}, now, {}, authority);
 }
 
-// Places as many as are placed at one moment; by back end.
+// Tries to place `count` requests at `now`. Returns the number placed by back-end id.
 std::map<std::string, int> PlaceMany(Dispatcher& dispatcher, int count, TimePoint now) {
   std::map<std::string, int> placed;
   for (int i = 0; i < count; ++i) {
-    const std::optional<Placement> placement = Place(dispatcher, now, kAll);
+    const std::optional<Placement> placement = Place(dispatcher, now, kFullAuthority);
     if (placement.has_value()) ++placed[placement->backend.id];
   }
   return placed;
@@ -78,7 +81,7 @@
   cr_assert(AllowanceOfCold({kLength, 0.1}, {1, 0}).most == 1, "a back end is never shut out");
 }
 
-// Whatever moments are asked for, and however late each request is sent within its grant.
+// Random arrival times, and each request is sent at a random time within its grant.
 Test(cold_allowance, no_second_gets_more_than_granted) {
   std::mt19937 random(3);
   GrantLimiter limiter;
@@ -107,27 +110,27 @@
   cr_assert(limiter.WaitFor(2, kTwo, now) == Duration(0));
 }
 
-Test(cold_back_ends, without_the_right_none_is_chosen) {
+Test(cold_back_ends, none_is_chosen_without_grant_authority) {
   Dispatcher dispatcher = MakeDispatcher({ColdEngine("cold", seconds(2)), MakeEngine("e", "z1")});
   for (int i = 0; i < 50; ++i) {
     cr_assert(Place(dispatcher, kStart, GrantAuthority())->backend.id == "e");
   }
   Dispatcher only = MakeDispatcher({ColdEngine("cold", seconds(2))});
   cr_assert(!Place(only, kStart, GrantAuthority()).has_value());
-  cr_assert(only.MeteredWait(Question(), {}, kStart, GrantAuthority()) == milliseconds(500));
+  cr_assert(only.MeteredWait(MakeProfile(), {}, kStart, GrantAuthority()) == milliseconds(500));
   cr_assert(Place(only, kStart + seconds(2), GrantAuthority()).has_value(), "warm by now");
 }
 
-Test(cold_back_ends, only_cold_ones_left_tell_when_the_window_opens) {
+Test(cold_back_ends, wait_is_reported_when_only_cold_ones_are_left) {
   Dispatcher dispatcher = MakeDispatcher({ColdEngine("cold", seconds(20))});
   cr_assert(PlaceMany(dispatcher, 50, kStart)["cold"] == 5);
   const TimePoint now = kStart + milliseconds(100);
-  const auto wait = dispatcher.MeteredWait(Question(), {}, now, kAll);
+  const auto wait = dispatcher.MeteredWait(MakeProfile(), {}, now, kFullAuthority);
   cr_assert(wait == kWindow - milliseconds(100));
   cr_assert(PlaceMany(dispatcher, 50, now + *wait)["cold"] == 5);
-  // Where none is left at all, nothing is said of cold ones.
+  // Without any back end left to try, there is no wait to report.
   const std::vector<BackendKey> tried{KeyOf("cold")};
-  cr_assert(!dispatcher.MeteredWait(Question(), tried, now, kAll).has_value());
+  cr_assert(!dispatcher.MeteredWait(MakeProfile(), tried, now, kFullAuthority).has_value());
 }
 
 Test(cold_back_ends, a_burst_goes_elsewhere_when_a_whole_zone_comes_back_cold) {
@@ -151,7 +154,7 @@
   cr_assert(dispatcher.ColdOf("llm", kStart + seconds(5) + kLength).empty());
 }
 
-Test(cold_back_ends, an_entry_may_tell_of_a_longer_spell_than_the_zone) {
+Test(cold_back_ends, an_entry_may_report_a_longer_cold_period_than_the_zone) {
   Dispatcher dispatcher = MakeDispatcher({ColdEngine("cold", seconds(30))});
   dispatcher.Registry().DrainZone("z1", kStart);
   dispatcher.Registry().RestoreZone("z1", kStart);
@@ -160,18 +163,18 @@
   cr_assert(cold[0].period.until == kStart + seconds(30));
 }
 
-Test(cold_back_ends, a_lost_one_is_cold_until_it_has_answered_for_the_length) {
+Test(cold_back_ends, a_lost_one_is_cold_for_the_warm_up_length_after_its_first_output) {
   for (const AttemptOutcome loss :
        {AttemptOutcome::kNotSent, AttemptOutcome::kCut, AttemptOutcome::kSilent}) {
     Dispatcher dispatcher = MakeDispatcher({MakeEngine("e", "z1")});
-    const auto early = Place(dispatcher, kStart, kAll);
-    const auto lost = Place(dispatcher, kStart, kAll);
+    const auto early = Place(dispatcher, kStart, kFullAuthority);
+    const auto lost = Place(dispatcher, kStart, kFullAuthority);
     dispatcher.Finish(lost->ticket, loss, kStart + seconds(1));
     cr_assert(dispatcher.ColdOf("llm", kStart + seconds(2)).size() == 1);
-    // What began before the loss tells nothing of the start after it.
+    // A request placed before the loss says nothing about a process that started after it.
     dispatcher.Finish(early->ticket, AttemptOutcome::kAnswered, kStart + seconds(2));
     const TimePoint back = kStart + seconds(6);
-    const auto first = Place(dispatcher, back, kAll);
+    const auto first = Place(dispatcher, back, kFullAuthority);
     cr_assert(first.has_value() && first->send_by == back + kGrantLifetime);
     dispatcher.Output(first->ticket, back + milliseconds(100));
     dispatcher.Finish(first->ticket, AttemptOutcome::kAnswered, back + seconds(1));
@@ -182,16 +185,16 @@
   }
 }
 
-// A busy one that loses one connection is not shut out for what it got while it was warm.
-Test(cold_back_ends, what_a_lost_one_got_before_does_not_count) {
+// Requests that a busy back end got while warm do not use up its allowance after a lost connection.
+Test(cold_back_ends, requests_before_a_loss_do_not_count) {
   Dispatcher dispatcher = MakeDispatcher({MakeEngine("e", "z1")});
-  for (int i = 0; i < 40; ++i) (void)Place(dispatcher, kStart, kAll);
-  const auto lost = Place(dispatcher, kStart, kAll);
+  for (int i = 0; i < 40; ++i) (void)Place(dispatcher, kStart, kFullAuthority);
+  const auto lost = Place(dispatcher, kStart, kFullAuthority);
   dispatcher.Finish(lost->ticket, AttemptOutcome::kCut, kStart + milliseconds(10));
   cr_assert(PlaceMany(dispatcher, 50, kStart + milliseconds(20))["e"] == 5);
 }
 
-Test(cold_back_ends, another_incarnation_starts_a_window_of_its_own) {
+Test(cold_back_ends, each_incarnation_has_its_own_window) {
   Backend engine = ColdEngine("e", seconds(20));
   engine.started_ms = 1;
   Dispatcher dispatcher = MakeDispatcher({engine});
@@ -202,7 +205,7 @@
   cr_assert(PlaceMany(dispatcher, 50, kStart + seconds(1))["e"] == 0);
 }
 
-Test(cold_back_ends, a_service_without_warm_up_is_untouched) {
+Test(cold_back_ends, a_service_without_warm_up_has_no_cold_back_ends) {
   Dispatcher dispatcher(PlacementPolicy(), "z1");
   dispatcher.SetWarmUps({ServiceRule{.name = "llm"}}, kBound);
   dispatcher.Registry().Put(ColdEngine("e", seconds(20)));
@@ -215,30 +218,32 @@
   cr_assert(dispatcher.ColdOf("llm", kStart).empty());
 }
 
-// A node that was frozen with a grant, and one whose entry told of the cold after the choice.
-Test(cold_back_ends, what_comes_too_late_is_not_sent) {
+// Two cases: the node was suspended until its grant had expired, and the back end's entry reported
+// it as cold only after the choice.
+Test(cold_back_ends, late_requests_are_not_sent) {
   Dispatcher dispatcher =
       MakeDispatcher({ColdEngine("cold", seconds(20)), MakeEngine("warm", "z1")});
-  const auto granted = dispatcher.Place(Question(), {KeyOf("warm")}, kStart, {}, kAll);
+  const auto granted = dispatcher.Place(MakeProfile(), {KeyOf("warm")}, kStart, {}, kFullAuthority);
   cr_assert(granted->backend.id == "cold");
-  cr_assert(dispatcher.MaySend(*granted, Question(), kStart + kGrantLifetime));
-  cr_assert(!dispatcher.MaySend(*granted, Question(), kStart + kGrantLifetime + milliseconds(1)));
-  const auto free = dispatcher.Place(Question(), {}, kStart, {}, GrantAuthority());
-  cr_assert(dispatcher.MaySend(*free, Question(), kStart + seconds(1)));
+  cr_assert(dispatcher.MaySend(*granted, MakeProfile(), kStart + kGrantLifetime));
+  cr_assert(
+      !dispatcher.MaySend(*granted, MakeProfile(), kStart + kGrantLifetime + milliseconds(1)));
+  const auto free = dispatcher.Place(MakeProfile(), {}, kStart, {}, GrantAuthority());
+  cr_assert(dispatcher.MaySend(*free, MakeProfile(), kStart + seconds(1)));
   dispatcher.Registry().Put(ColdEngine("warm", seconds(20)));
-  cr_assert(!dispatcher.MaySend(*free, Question(), kStart + seconds(1)));
+  cr_assert(!dispatcher.MaySend(*free, MakeProfile(), kStart + seconds(1)));
 }
 
-Test(cold_back_ends, a_grant_of_a_coordinator_that_does_not_know_of_the_cold_is_not_taken) {
+Test(cold_back_ends, an_unmetered_grant_is_not_adopted) {
   Dispatcher dispatcher = MakeDispatcher({ColdEngine("cold", seconds(20))});
   PlacementGrant grant;
   grant.backend = KeyOf("cold");
-  cr_assert(!dispatcher.Adopt("n1", grant, Question(), kStart, kStart).has_value());
+  cr_assert(!dispatcher.Adopt("n1", grant, MakeProfile(), kStart, kStart).has_value());
   grant.is_metered = true;
-  cr_assert(dispatcher.Adopt("n1", grant, Question(), kStart, kStart).has_value());
+  cr_assert(dispatcher.Adopt("n1", grant, MakeProfile(), kStart, kStart).has_value());
 }
 
-Test(cold_back_ends, what_this_node_withheld_tells_nothing_of_the_back_end) {
+Test(cold_back_ends, a_withheld_request_does_not_make_the_back_end_cold) {
   Dispatcher dispatcher = MakeDispatcher({MakeEngine("e", "z1")});
   const auto placement = Place(dispatcher, kStart, GrantAuthority());
   dispatcher.Finish(placement->ticket, AttemptOutcome::kWithheld, kStart);
