--- a/libs/dispatch/tests/attempt_outcome_test.cc
+++ b/libs/dispatch/tests/attempt_outcome_test.cc
@@ -22,7 +22,7 @@
   return route;
 }
 
-Test(attempts, a_request_that_may_run_once_goes_on_only_when_it_has_not_run) {
+Test(attempts, a_run_once_request_is_retried_only_when_it_has_not_run) {
   const RouteRule route = MakeRoute(RequestKind::kOnce, 3);
   AttemptHistory history;
   history.attempts = 1;
@@ -34,7 +34,7 @@
   for (const AttemptOutcome outcome : kAll) cr_assert(!MayRetry(route, outcome, history));
 }
 
-Test(attempts, a_repeatable_request_keeps_to_its_attempts) {
+Test(attempts, a_repeatable_request_is_limited_to_its_attempts) {
   const RouteRule route = MakeRoute(RequestKind::kRepeatable, 2);
   AttemptHistory history;
   history.attempts = 1;
@@ -47,7 +47,7 @@
   cr_assert(!MayRetry(route, AttemptOutcome::kCut, history));
 }
 
-Test(attempts, a_stream_goes_on_elsewhere_only_when_it_is_resumable) {
+Test(attempts, a_stream_is_retried_only_when_it_is_resumable) {
   AttemptHistory history;
   history.attempts = 1;
   history.may_have_run = 1;
@@ -55,8 +55,9 @@
   cr_assert(MayRetry(MakeRoute(RequestKind::kStream, 2, true), AttemptOutcome::kCut, history));
 }
 
-// Random outcomes for random routes: what may run once runs once, and attempts stay in bounds.
-Test(attempts, thousand_random_histories_keep_the_promises) {
+// Random outcomes for random routes: a request that may run only once runs at most once, and the
+// attempts stay within their limit.
+Test(attempts, random_histories_keep_the_retry_rules) {
   std::mt19937 random(7);
   for (int seed = 0; seed < 1000; ++seed) {
     const auto kind = static_cast<RequestKind>(random() % 3);
--- a/libs/dispatch/tests/backend_registry_test.cc
+++ b/libs/dispatch/tests/backend_registry_test.cc
@@ -57,7 +57,7 @@
   cr_assert(registry.Find("left") == nullptr, "a leaving one is gone at once");
   cr_assert(!registry.RemoveMissing(kNow + seconds(1)));
   registry.Put(Make("lapsed", "a:1", 7));
-  // A later list doesn't prolong the time.
+  // A later list does not extend the time until a missing back end is removed.
   registry.ReplaceAll({Make("lapsed", "a:1", 7)}, kNow + seconds(9));
   cr_assert(registry.RemoveMissing(kNow + seconds(2)));
   cr_assert(registry.ReadyOf("s").size() == 1 && registry.ReadyOf("s")[0]->id == "lapsed");
@@ -75,7 +75,7 @@
   cr_assert(registry.Size() == 0);
 }
 
-Test(registry, a_whole_list_drops_what_it_does_not_name) {
+Test(registry, a_full_list_removes_back_ends_that_it_does_not_contain) {
   BackendRegistry registry;
   registry.Put(Make("b", "a:1"));
   registry.ReplaceAll({Make("c", "a:2")});
@@ -86,7 +86,7 @@
   cr_assert(registry.Size() == 0);
 }
 
-Test(registry, a_missing_one_that_a_peer_tells_of_is_gone_at_its_time) {
+Test(registry, a_missing_one_reported_by_a_peer_is_removed_at_its_time) {
   const TimePoint now = TimePoint(seconds(1000));
   BackendRegistry registry;
   Backend backend;
@@ -111,7 +111,7 @@
   cr_assert(registry.DrainedOf("s").empty());
   const int64_t before = registry.Changes();
   cr_assert(registry.DrainZone("a", now));
-  cr_assert(registry.Changes() > before, "what was derived from the registry is outdated");
+  cr_assert(registry.Changes() > before, "data derived from the registry is outdated");
   cr_assert(registry.ReadyOf("s").size() == 1 && registry.ReadyOf("s")[0]->id == "in-b");
   cr_assert(registry.DrainedOf("s").size() == 1 && registry.DrainedOf("s")[0]->id == "in-a");
   cr_assert(!registry.IsOpen(*registry.Find("in-a")));
@@ -142,19 +142,19 @@
   cr_assert(registry.ReadyOf("s").empty() && !registry.IsOpen(*registry.Find("b")));
 }
 
-Test(registry, an_entry_of_a_service_that_nobody_names_hides_no_live_back_end) {
+Test(registry, an_entry_of_an_unconfigured_service_hides_no_live_back_end) {
   BackendRegistry registry;
   registry.Put(Make("live", "a:1", 5));
-  Backend stranger = Make("stranger", "a:1", 9);
-  stranger.service = "unheard-of";
-  registry.Put(stranger);
-  cr_assert(registry.ReadyOf("s").empty(), "which services there are is not known yet");
+  Backend unconfigured = Make("unconfigured", "a:1", 9);
+  unconfigured.service = "unheard-of";
+  registry.Put(unconfigured);
+  cr_assert(registry.ReadyOf("s").empty(), "the configured services are not known yet");
   const int64_t before = registry.Changes();
   registry.SetServices({"s", "t"});
   cr_assert(registry.Changes() > before);
   cr_assert(registry.ReadyOf("s").size() == 1 && registry.ReadyOf("s")[0]->id == "live");
   registry.SetServices({"s", "unheard-of"});
-  cr_assert(registry.ReadyOf("s").empty(), "a document has named it: the address is its own now");
+  cr_assert(registry.ReadyOf("s").empty(), "a configured service owns the address now");
 }
 
 }  // namespace
--- a/libs/dispatch/tests/dispatcher_test.cc
+++ b/libs/dispatch/tests/dispatcher_test.cc
@@ -50,14 +50,14 @@
   return profile;
 }
 
-Test(dispatcher, nothing_to_place_at) {
+Test(dispatcher, no_placement_without_a_back_end) {
   Dispatcher dispatcher = MakeDispatcher(0);
   cr_assert(!dispatcher.Place(Urgent(), {}, kStart).has_value());
   dispatcher = MakeDispatcher(1);
   cr_assert(!dispatcher.Place(Urgent(), {KeyOf("e0")}, kStart).has_value());
 }
 
-Test(dispatcher, requests_about_one_subject_meet_at_one_engine_when_it_has_time) {
+Test(dispatcher, requests_with_a_shared_prefix_go_to_one_idle_engine) {
   Dispatcher dispatcher = MakeDispatcher(8);
   std::set<std::string> engines;
   for (int i = 0; i < 10; ++i) {
@@ -74,7 +74,7 @@
   Dispatcher dispatcher = MakeDispatcher(8);
   std::set<std::string> engines;
   bool fetched = false;
-  // The holder has read it.
+  // The first output shows that the holder has read the prompt.
   const std::optional<Placement> first = dispatcher.Place(Patient(5), {}, kStart);
   dispatcher.Output(first->ticket, kStart);
   for (int i = 0; i < 20; ++i) {
@@ -95,8 +95,8 @@
   const std::optional<Placement> first = dispatcher.Place(Patient(5), {}, kStart);
   const std::optional<Placement> second =
       dispatcher.Place(Patient(5), {}, kStart + milliseconds(1));
-  cr_assert(second->backend.id == first->backend.id, "it will hold the prompt when it is through");
-  // Elsewhere it would be read a second time, and can't be asked for yet.
+  cr_assert(second->backend.id == first->backend.id, "it will hold the prompt once it has read it");
+  // Another engine has to read the prompt too, as the first one has no prompt memory to fetch yet.
   const std::optional<Placement> elsewhere =
       dispatcher.Place(Patient(5), {first->backend.key}, kStart + milliseconds(2));
   cr_assert(elsewhere->fetch_prefix_from.empty());
@@ -115,31 +115,32 @@
   }
 }
 
-Test(dispatcher, long_prompts_keep_off_the_engines_of_light_requests) {
+Test(dispatcher, long_prompts_avoid_the_engines_of_light_requests) {
   Dispatcher dispatcher = MakeDispatcher(12);
   std::map<std::string, int> urgent;
   std::map<std::string, int> patient;
   for (int i = 0; i < 400; ++i) {
     const TimePoint now = kStart + milliseconds(25) * i;
     const auto subject = static_cast<uint64_t>(i);
-    const std::optional<Placement> question = dispatcher.Place(Urgent(subject), {}, now);
-    ++urgent[question->backend.id];
-    dispatcher.Output(question->ticket, now + milliseconds(20));
-    dispatcher.Finish(question->ticket, AttemptOutcome::kAnswered, now + milliseconds(24));
+    const std::optional<Placement> light_placement = dispatcher.Place(Urgent(subject), {}, now);
+    ++urgent[light_placement->backend.id];
+    dispatcher.Output(light_placement->ticket, now + milliseconds(20));
+    dispatcher.Finish(light_placement->ticket, AttemptOutcome::kAnswered, now + milliseconds(24));
     if (i % 4 != 0) continue;
-    const std::optional<Placement> report = dispatcher.Place(Patient(500 + subject), {}, now);
-    ++patient[report->backend.id];
-    dispatcher.Output(report->ticket, now + milliseconds(20));
-    dispatcher.Finish(report->ticket, AttemptOutcome::kAnswered, now + milliseconds(24));
+    const std::optional<Placement> heavy_placement =
+        dispatcher.Place(Patient(500 + subject), {}, now);
+    ++patient[heavy_placement->backend.id];
+    dispatcher.Output(heavy_placement->ticket, now + milliseconds(20));
+    dispatcher.Finish(heavy_placement->ticket, AttemptOutcome::kAnswered, now + milliseconds(24));
   }
   int shared = 0;
   for (const auto& [engine, count] : urgent) shared += patient.count(engine) != 0 ? count : 0;
   cr_assert(shared <= 40, "%d of 400 urgent requests beside long prompts", shared);
 }
 
-Test(dispatcher, of_equal_back_ends_one_with_an_idle_connection_is_taken) {
+Test(dispatcher, of_equal_back_ends_one_with_an_idle_connection_is_chosen) {
   Dispatcher dispatcher = MakeDispatcher(8);
-  // One of those for light requests.
+  // An engine of the partition for light requests.
   const std::optional<Placement> first = dispatcher.Place(Urgent(0), {}, kStart);
   dispatcher.Finish(first->ticket, AttemptOutcome::kAnswered, kStart);
   const std::string connected = first->backend.id;
@@ -149,7 +150,7 @@
     cr_assert(placement->backend.id == connected);
     dispatcher.Finish(placement->ticket, AttemptOutcome::kAnswered, kStart);
   }
-  // But not when others have much more time.
+  // An idle connection does not outweigh a much higher load.
   for (int i = 0; i < 200; ++i) {
     const std::optional<Placement> placement =
         dispatcher.Place(Urgent(100 + static_cast<uint64_t>(i)), {}, kStart, {KeyOf(connected)});
@@ -158,7 +159,8 @@
   cr_assert_fail("all 200 requests went to one engine");
 }
 
-// Where a long prompt goes; its request ends at once, so that only the peers' load differs.
+// Returns the id of the engine that a long prompt is placed at. The request ends at once, so that
+// only the load reported by peers differs.
 std::string PlacedAndEnded(Dispatcher& dispatcher, uint64_t subject, TimePoint now) {
   const std::optional<Placement> placement = dispatcher.Place(Patient(subject), {}, now);
   dispatcher.Finish(placement->ticket, AttemptOutcome::kCallerGone, now);
@@ -175,21 +177,21 @@
   return digest;
 }
 
-Test(dispatcher, what_peers_tell_counts_and_fades) {
+Test(dispatcher, peer_loads_count_until_they_expire) {
   Dispatcher dispatcher = MakeDispatcher(2);
   dispatcher.ApplyDigest("n2", BusyAt("e0"), seconds(1), kStart);
   cr_assert(dispatcher.LiveNodes(kStart) == 2);
   for (uint64_t subject = 0; subject < 10; ++subject) {
     cr_assert(PlacedAndEnded(dispatcher, subject, kStart) == "e1");
   }
-  // The next digest takes the place of the first.
+  // The next digest replaces the first.
   dispatcher.ApplyDigest("n2", BusyAt("e1"), seconds(1), kStart);
   for (uint64_t subject = 20; subject < 30; ++subject) {
     cr_assert(PlacedAndEnded(dispatcher, subject, kStart) == "e0");
   }
   const TimePoint later = kStart + seconds(5);
   cr_assert(dispatcher.LiveNodes(later) == 1);
-  // Told by nobody any more: an engine that holds a subject gets it again.
+  // The digest has expired: the engine that holds a subject gets it again.
   cr_assert(PlacedAndEnded(dispatcher, 3, later) == "e1");
 }
 
@@ -209,7 +211,7 @@
   }
 }
 
-Test(dispatcher, own_failures_are_told_without_requests_running) {
+Test(dispatcher, own_failures_are_reported_without_running_requests) {
   Dispatcher dispatcher = MakeDispatcher(1);
   const std::optional<Placement> placement = dispatcher.Place(Urgent(), {}, kStart);
   dispatcher.Finish(placement->ticket, AttemptOutcome::kCut, kStart);
@@ -219,7 +221,7 @@
   cr_assert(dispatcher.TakeDigest(kStart + seconds(60)).loads.empty());
 }
 
-Test(dispatcher, a_leaving_engine_told_by_a_peer_gets_nothing) {
+Test(dispatcher, an_engine_that_a_peer_reports_as_leaving_gets_nothing) {
   Dispatcher dispatcher = MakeDispatcher(2);
   DispatchDigest digest;
   digest.leaving = {KeyOf("e0")};
@@ -240,16 +242,16 @@
   }
 }
 
-Test(dispatcher, another_start_at_the_address_takes_the_place_of_the_first) {
+Test(dispatcher, an_address_that_answers_as_another_instance_gets_nothing) {
   Dispatcher dispatcher = MakeDispatcher(1);
   const std::optional<Placement> placement = dispatcher.Place(Urgent(), {}, kStart);
   dispatcher.Finish(placement->ticket, AttemptOutcome::kWrongInstance, kStart);
   cr_assert(!dispatcher.Place(Urgent(), {}, kStart).has_value());
 }
 
-// Random events in random order: whatever comes, the load of a back end without requests is zero,
-// and no request is placed at a back end that was tried, is leaving or gone.
-Test(dispatcher, thousand_random_schedules_balance_their_books) {
+// Random events in random order: the load of a back end without requests is always zero, and no
+// request is placed at a back end that was tried, is leaving or has been removed.
+Test(dispatcher, random_schedules_leave_no_load_behind) {
   for (uint32_t seed = 0; seed < 1000; ++seed) {
     std::mt19937 random(seed);
     Dispatcher dispatcher = MakeDispatcher(5);
@@ -268,7 +270,7 @@
           dispatcher.ForgetRemovedBackends();
           break;
         case 2: {
-          // Another start: leaving is final for one.
+          // A restart, as leaving is final for one incarnation.
           Backend started = MakeEngine("e" + std::to_string(random() % 5));
           started.started_ms = step + 1;
           dispatcher.Registry().Put(started);
--- a/libs/dispatch/tests/engine_partition_test.cc
+++ b/libs/dispatch/tests/engine_partition_test.cc
@@ -22,7 +22,7 @@
   cr_assert(WantedLightEngines(policy, {0, 0, 0, 0, 48}, 12) >= 12 * policy.min_light_share);
 }
 
-// Engines with few slots: what runs counts, though little is read.
+// With few slots per engine, running requests count even when there is little prefill work.
 Test(partition, running_requests_need_slots) {
   const PartitionPolicy policy;
   const double few = WantedLightEngines(policy, {100, 1000, 20, 100, 12}, 30);
@@ -41,7 +41,7 @@
   cr_assert(target.Update(0.1, 1) == 1);
 }
 
-Test(partition, rates_of_peers_count_until_they_are_silent) {
+Test(partition, rates_of_peers_count_until_they_expire) {
   ServiceWorkView view(seconds(5));
   view.Note("s", true, 100, kStart);
   view.SetPeer("n2", {{"s", 30, 70}}, kStart + seconds(1));
--- a/libs/dispatch/tests/grant_book_test.cc
+++ b/libs/dispatch/tests/grant_book_test.cc
@@ -17,10 +17,10 @@
   cr_assert(book.Find("n1", 7)->ticket == 1);
   cr_assert(book.Find("n2", 7) == nullptr && book.Find("n1", 8) == nullptr);
   cr_assert(book.Take("n1", 7) == PlacementTicket{1});
-  cr_assert(!book.Take("n1", 7).has_value(), "its end told twice counts once");
+  cr_assert(!book.Take("n1", 7).has_value(), "an end that is reported twice counts once");
 }
 
-Test(grant_book, a_list_of_live_questions_ends_the_others_but_not_new_ones) {
+Test(grant_book, reconciling_ends_unlisted_grants_except_new_ones) {
   GrantBook book;
   book.Add("n1", 1, Grant(11, kNow - seconds(2)));
   book.Add("n1", 2, Grant(12, kNow - seconds(2)));
--- a/libs/dispatch/tests/pause_model_test.cc
+++ b/libs/dispatch/tests/pause_model_test.cc
@@ -1,4 +1,4 @@
-// The learnt model of an engine's pauses against synthetic engines.
+// The learnt model of an engine's pauses, checked against synthetic engines.
 #include "cartsail/dispatch/pause_model.h"
 
 #include <algorithm>
@@ -13,7 +13,8 @@
 constexpr BackendKey kEngine = 1;
 constexpr BackendKey kOther = 2;
 
-// An engine as the model's equation describes it, with measured pauses a little off.
+// An engine that follows the model's equation: noise of 3 % on the longest pause, and a mean pause
+// up to 20 % above the base.
 struct SyntheticEngine {
   double base_ms = 20;
   double prefill_ms = 200;
--- a/libs/dispatch/tests/placement_at_size_test.cc
+++ b/libs/dispatch/tests/placement_at_size_test.cc
@@ -1,6 +1,6 @@
-// The work of a placement does not grow with the back ends of a service. A coordinator that looked
-// at each engine, twice, and searched the holders of each part of the prompt for each, could not
-// answer in time before some thousand engines.
+// The cost of a placement does not grow with the number of back ends of a service. A coordinator
+// that examined each engine twice, and searched the holders of each prompt part for each engine,
+// could not answer in time with some thousand engines.
 #include <algorithm>
 #include <map>
 #include <set>
@@ -18,8 +18,8 @@
 const TimePoint kStart{seconds(1000)};
 constexpr int kRequests = 400;
 constexpr uint64_t kSubjects = 20;
-// Weighed for one request, whatever the size.
-constexpr int64_t kMostCandidates = 256;
+// Limit on the back ends that are compared for one request, at any size of the service.
+constexpr int64_t kMaxCandidates = 256;
 
 struct Fleet {
   explicit Fleet(int engines) : dispatcher(PlacementPolicy(), "z1") {
@@ -43,11 +43,11 @@
 
 struct Outcome {
   int64_t most_candidates = 0;
-  int held = 0;         // requests placed where their shared part was held
-  int most_at_one = 0;  // running at once at one engine
+  int held = 0;         // requests placed at an engine that held their shared part
+  int most_at_one = 0;  // most requests running at one engine at a time
 };
 
-// A request each 20 ms, each of which runs for a second.
+// Places kRequests requests 20 ms apart, each of which runs for 1 s.
 Outcome PlaceMany(Dispatcher& dispatcher) {
   Outcome outcome;
   std::map<TimePoint, PlacementTicket> running;
@@ -75,16 +75,17 @@
   return outcome;
 }
 
-Test(placement_at_size, weighs_no_more_back_ends_of_a_larger_service) {
+Test(placement_at_size, compares_no_more_back_ends_for_a_larger_service) {
   for (const int engines : {100, 1000, 10000, 20000}) {
     Fleet fleet(engines);
     const Outcome outcome = PlaceMany(fleet.dispatcher);
-    cr_assert(outcome.most_candidates <= kMostCandidates, "%ld of %d", outcome.most_candidates,
+    cr_assert(outcome.most_candidates <= kMaxCandidates, "%ld of %d", outcome.most_candidates,
               engines);
   }
 }
 
-// Prompts meet what was read of them, and no engine is crowded.
+// In the large fleet at least as many requests find their shared part held as in the small one, and
+// no engine runs more requests at a time.
 Test(placement_at_size, chooses_as_well_among_many_as_among_few) {
   Fleet few(200);
   Fleet many(20000);
@@ -95,9 +96,10 @@
             of_few.most_at_one);
 }
 
-// Where no coordinator answers each node places by itself, and knows nothing of the others'
-// requests. All chose the same engine: one of 9,714 got 402 times as many requests as the mean.
-Test(placement_at_size, nodes_that_place_by_themselves_spread) {
+// When no coordinator answers, each node places by itself without knowing the others' requests.
+// Guards against all nodes choosing the same engine: one of 9,714 got 402 times as many requests as
+// the mean.
+Test(placement_at_size, nodes_without_a_coordinator_spread_their_requests) {
   constexpr int kNodes = 100;
   std::map<BackendKey, int> at;
   for (uint32_t node = 1; node <= kNodes; ++node) {
@@ -112,7 +114,7 @@
   cr_assert(most <= 5, "%d of %d at one engine", most, kNodes);
 }
 
-// The draw missed the only one that was left: it has to be found all the same.
+// Guards against a random sample of back ends that misses the only one left.
 Test(placement_at_size, finds_the_last_one_that_was_not_tried) {
   constexpr int kEngines = 600;
   Fleet fleet(kEngines);
@@ -122,8 +124,8 @@
   cr_assert(placed.has_value() && placed->backend.id == "e599");
 }
 
-// Large pools are made anew less often: what has gone meanwhile is not chosen.
-Test(placement_at_size, chooses_none_that_has_gone_or_leaves) {
+// Large pools are rebuilt less often; back ends removed or leaving since are not chosen.
+Test(placement_at_size, chooses_no_removed_or_leaving_back_end) {
   constexpr int kEngines = 1000;
   Fleet fleet(kEngines);
   (void)fleet.dispatcher.Place(PromptAbout(1, 1), {}, kStart);
@@ -141,8 +143,9 @@
   }
 }
 
-// Requests and changes of back ends come all the time.
-int64_t LookedInASecond(int engines) {
+// Returns how many back ends the pools examine in 1 s with a request every 1 ms and a new back end
+// every 10 ms.
+int64_t ExaminedPerSecond(int engines) {
   BackendRegistry registry;
   for (int i = 0; i < engines; ++i) registry.Put(testing::MakeBackend("e" + std::to_string(i), 0));
   const PauseModel pauses;
@@ -156,15 +159,15 @@
   return pools.ExaminedBackends();
 }
 
-Test(placement_at_size, keeping_pools_costs_no_more_for_a_larger_service) {
-  constexpr int64_t kMostLooked = 70000;
+Test(placement_at_size, maintaining_pools_costs_no_more_for_a_larger_service) {
+  constexpr int64_t kMaxExamined = 70000;
   for (const int engines : {100, 1000, 10000, 20000}) {
-    const int64_t looked = LookedInASecond(engines);
-    cr_assert(looked <= kMostLooked, "%ld looked at, of %d", looked, engines);
+    const int64_t examined = ExaminedPerSecond(engines);
+    cr_assert(examined <= kMaxExamined, "%ld examined with %d engines", examined, engines);
   }
 }
 
-// The holders of each of the parts are found in one step.
+// The holders of all prompt parts are found in one step, and forgetting one leaves the others.
 Test(placement_at_size, forgets_one_holder_of_many) {
   PrefixDirectory prefixes(seconds(20));
   const std::vector<PromptPart> prompt = {{1, 100}, {2, 200}};
@@ -172,7 +175,8 @@
   prefixes.Note(2, 7, kStart);
   prefixes.NoteRead(2, 7);
   cr_assert(prefixes.HoldersOf(prompt, 64, kStart).size() == 64);
-  cr_assert(prefixes.HoldersOf(prompt, 64, kStart).front() == 7, "it holds most of the prompt");
+  cr_assert(prefixes.HoldersOf(prompt, 64, kStart).front() == 7,
+            "holds the most tokens of the prompt");
   prefixes.ForgetUnless([](BackendKey backend) { return backend != 7; });
   cr_assert(prefixes.HeldTokens(prompt, 7, kStart) == 0 && !prefixes.AnyHolds(2, kStart));
   cr_assert(prefixes.HeldTokens(prompt, 8, kStart) == 100);
--- a/libs/dispatch/tests/region_map_test.cc
+++ b/libs/dispatch/tests/region_map_test.cc
@@ -15,7 +15,7 @@
   return profile;
 }
 
-Test(region_map, zones_of_one_region_have_one_number) {
+Test(region_map, zones_of_one_region_share_its_index) {
   const RegionMap regions = TwoRegions();
   cr_assert(regions.Count() == 2);
   cr_assert(regions.IndexOfZone("e1") == regions.IndexOfZone("e2"));
@@ -37,7 +37,7 @@
   cr_assert(!RegionMap().Allows(KeptIn({"east"}), "e1"));
 }
 
-Test(region_map, regions_that_no_zone_lies_in_allow_nothing) {
+Test(region_map, regions_without_zones_allow_nothing) {
   cr_assert(!TwoRegions().Allows(KeptIn({"north"}), "e1"));
   cr_assert(!TwoRegions().Allows(KeptIn({}), "e1"));
 }
@@ -56,7 +56,7 @@
   cr_assert(RegionMap().MayShareMemory(kUnknownRegion, kUnknownRegion));
 }
 
-Test(region_map, where_both_tell_regions_both_bind) {
+Test(region_map, both_restrictions_apply) {
   cr_assert(!Intersection(std::nullopt, std::nullopt).has_value());
   cr_assert(*Intersection(Names{"east"}, std::nullopt) == Names{"east"});
   cr_assert(*Intersection(std::nullopt, Names{"east"}) == Names{"east"});
--- a/libs/dispatch/tests/registry_drains_test.cc
+++ b/libs/dispatch/tests/registry_drains_test.cc
@@ -18,7 +18,7 @@
   return backend;
 }
 
-Test(zone_drains, are_known_with_the_time_since_when) {
+Test(zone_drains, are_kept_with_their_times) {
   ZoneDrains drains;
   cr_assert(drains.Drain("a", kNow));
   cr_assert(!drains.Drain("a", kNow + seconds(1)), "nothing new");
@@ -36,7 +36,7 @@
   registry.Put(Make("y", "b"));
   const int64_t before = registry.Changes();
   cr_assert(registry.DrainZone("a", kNow));
-  cr_assert(registry.Changes() > before, "what was derived from the registry is made anew");
+  cr_assert(registry.Changes() > before, "data derived from the registry is outdated");
   cr_assert(registry.ReadyOf("s").size() == 1 && registry.ReadyOf("s")[0]->id == "y");
   cr_assert(registry.DrainedOf("s").size() == 1 && registry.DrainedOf("s")[0]->id == "x");
   cr_assert(!registry.IsOpen(*registry.Find("x")));
@@ -44,7 +44,7 @@
   cr_assert(registry.ReadyOf("s").size() == 2 && registry.DrainedOf("s").empty());
 }
 
-// Its entry comes after the word of the drain, or it starts while the zone is drained.
+// The entry arrives after the drain, or the back end starts while the zone is drained.
 Test(zone_drains, hold_for_back_ends_that_come_later) {
   BackendRegistry registry;
   registry.DrainZone("a", kNow);
@@ -56,7 +56,7 @@
   cr_assert(registry.ReadyOf("s").empty() && registry.DrainedOf("s").size() == 2);
 }
 
-Test(incarnations, have_keys_of_their_own_and_an_earlier_one_changes_nothing) {
+Test(incarnations, have_their_own_keys_and_earlier_ones_are_ignored) {
   BackendRegistry registry;
   registry.Put(Make("x", "a", 5));
   const BackendKey first = registry.Find("x")->key;
@@ -65,7 +65,7 @@
   const BackendKey second = registry.Find("x")->key;
   cr_assert(first != second);
   cr_assert(registry.FindByKey(first) == nullptr);
-  cr_assert(registry.ReadyOf("s").size() == 1, "leaving was said of the one before");
+  cr_assert(registry.ReadyOf("s").size() == 1, "the earlier incarnation was leaving");
   registry.Put(Make("x", "a", 5));
   cr_assert(registry.Find("x")->key == second);
 }
--- a/libs/dispatch/tests/residency_test.cc
+++ b/libs/dispatch/tests/residency_test.cc
@@ -39,7 +39,7 @@
 
 const ZoneRegions kZones = {{"e1", "east"}, {"e2", "east"}, {"w1", "west"}, {"n1", "north"}};
 
-// One random fleet and the requests that it is sent.
+// A fleet of random engines and the random requests that are sent to it.
 class RandomFleet {
  public:
   explicit RandomFleet(uint32_t seed)
@@ -110,7 +110,7 @@
     if (Pick(2) == 0) dispatcher_.Output(placement->ticket, now_);
   }
 
-  // As a coordinator with another document, or other zones, may answer.
+  // A grant as a coordinator with another configuration document or other zones may send it.
   PlacementGrant RandomGrant() {
     PlacementGrant grant;
     grant.backend = KeyOf("e" + std::to_string(Pick(12)));
@@ -145,7 +145,7 @@
   int fetches_ = 0;
 };
 
-Test(residency, no_request_and_no_memory_leaves_its_regions_in_random_fleets) {
+Test(residency, no_request_or_prompt_memory_leaves_its_regions_in_random_fleets) {
   int placed = 0;
   int refused = 0;
   int fetches = 0;
@@ -157,7 +157,7 @@
     fetches += fleet.Fetches();
   }
   cr_assert(placed > kFleets * kRequests / 4 && refused > 0 && fetches > 0,
-            "%d placed, %d refused, %d fetches: the fleets say too little", placed, refused,
+            "%d placed, %d refused, %d fetches: too few to check anything", placed, refused,
             fetches);
 }
 
@@ -169,7 +169,7 @@
   return dispatcher;
 }
 
-Test(residency, without_a_back_end_at_home_nothing_is_chosen) {
+Test(residency, without_a_back_end_in_its_region_a_request_is_not_placed) {
   Dispatcher dispatcher = EastAndWest();
   RequestProfile profile = MakeProfile(1);
   profile.residency = std::vector<std::string>{"east"};
@@ -183,7 +183,7 @@
   cr_assert(dispatcher.ReadyFor(profile, kStart) == 2);
 }
 
-Test(residency, a_full_home_takes_its_requests_all_the_same) {
+Test(residency, a_full_region_still_takes_its_requests) {
   Dispatcher dispatcher = EastAndWest();
   RequestProfile profile = MakeProfile(1);
   profile.residency = std::vector<std::string>{"east"};
@@ -203,7 +203,7 @@
   cr_assert(!dispatcher.Adopt("10.0.0.2", grant, profile, kStart, kStart).has_value());
 }
 
-Test(residency, the_last_check_goes_by_the_residency_in_force_then) {
+Test(residency, the_last_check_applies_the_current_residency) {
   Dispatcher dispatcher = EastAndWest();
   RequestProfile profile = MakeProfile(1);
   cr_assert(dispatcher.MayReceive(KeyOf("west1"), profile, kStart));
@@ -212,7 +212,7 @@
   cr_assert(dispatcher.MayReceive(KeyOf("east1"), profile, kStart));
 }
 
-Test(residency, an_engine_elsewhere_reads_a_prompt_again_rather_than_fetch_it) {
+Test(residency, prompt_memory_is_not_fetched_from_another_region) {
   Dispatcher dispatcher = EastAndWest();
   const RequestProfile profile = MakeProfile(1);
   const std::vector<BackendKey> not_west = {KeyOf("west1"), KeyOf("west2")};
@@ -222,14 +222,15 @@
   const TimePoint later = kStart + milliseconds(200);
   const std::optional<Placement> west = dispatcher.Place(profile, {KeyOf("east1")}, later);
   cr_assert(west->fetch_prefix_from.empty(), "east1 has read it, but in another region");
-  // Within the region it is handed over.
+  // Within the region the prompt memory is handed over.
   dispatcher.Output(west->ticket, later + milliseconds(100));
   const std::optional<Placement> beside =
       dispatcher.Place(profile, {KeyOf("east1"), west->backend.key}, later + milliseconds(200));
   cr_assert(beside->fetch_prefix_from == west->backend.address);
 }
 
-// The same requests placed by `dispatcher`, as a list of ids.
+// Places the same 300 requests by any `dispatcher`. Returns, per request, the id of the engine and
+// the address that the prompt memory is fetched from (empty: none).
 std::vector<std::string> PlacedBy(Dispatcher dispatcher) {
   for (int i = 0; i < 9; ++i) {
     dispatcher.Registry().Put(MakeEngine("e" + std::to_string(i), i % 2 == 0 ? "e1" : "e2"));
--- a/libs/dispatch/tests/stream_risk_test.cc
+++ b/libs/dispatch/tests/stream_risk_test.cc
@@ -1,4 +1,4 @@
-// Streams at risk, reading backlogs and run times: the books that placement is decided by.
+// Streams at risk, prefill backlogs and run times, which placement is based on.
 #include "cartsail/dispatch/stream_risk.h"
 
 #include <cmath>
@@ -44,7 +44,7 @@
   cr_assert(risk.At(kEngine).empty() && risk.Bounds().empty());
 }
 
-Test(stream_risk, breaks_of_late_are_expected_again_and_fade) {
+Test(stream_risk, recent_breaks_raise_the_expected_risk_and_fade) {
   StreamRisk risk;
   risk.NotePrompt(kEngine, kBound, 0.9, kStart);
   const double at_once = risk.FutureBreak(kEngine, kBound, seconds(2), kStart);
@@ -54,7 +54,7 @@
   cr_assert(risk.FutureBreak(kEngine + 1, kBound, seconds(2), kStart) == 0);
 }
 
-Test(stream_risk, books_balance_under_random_streams_and_prompts) {
+Test(stream_risk, random_streams_and_prompts_leave_no_risk_behind) {
   for (uint32_t seed = 0; seed < 200; ++seed) {
     std::mt19937 random(seed);
     std::uniform_real_distribution<double> chance(-0.1, 1.1);
@@ -99,7 +99,8 @@
 Test(reading_backlog, overdue_prompts_count_for_as_long_as_they_are_overdue) {
   PrefillBacklog backlog;
   backlog.Add(kEngine, 100, kStart);
-  cr_assert(backlog.Millis(kEngine, kStart + milliseconds(110)) == 0, "it may be on its way");
+  cr_assert(backlog.Millis(kEngine, kStart + milliseconds(110)) == 0,
+            "the first output may be on its way");
   const double silent = backlog.Millis(kEngine, kStart + seconds(1));
   cr_assert(silent > 800 && silent < 900);
   backlog.Remove(kEngine, 100, kStart + seconds(1));
@@ -110,7 +111,8 @@
   PrefillBacklog backlog;
   for (const double prefill_ms : {0.1, 0.2, 0.7}) backlog.Add(kEngine, prefill_ms, kStart);
   for (const double prefill_ms : {0.7, 0.2, 0.1}) backlog.Remove(kEngine, prefill_ms, kStart);
-  cr_assert(backlog.Millis(kEngine, kStart + seconds(5)) == 0, "sums of fractions leave a rest");
+  cr_assert(backlog.Millis(kEngine, kStart + seconds(5)) == 0,
+            "rounding of the sum must leave no remainder");
   backlog.Remove(kEngine, 5, kStart);
   cr_assert(backlog.Millis(kEngine, kStart + seconds(5)) == 0);
 }
--- a/libs/dispatch/tests/version_placement_test.cc
+++ b/libs/dispatch/tests/version_placement_test.cc
@@ -1,5 +1,4 @@
-// What engines of one version write is handed to none of another one: neither streams nor the
-// memory of prompts.
+// Neither streams nor prompt memory pass from engines of one version to engines of another.
 #include <map>
 #include <string>
 
@@ -53,8 +52,8 @@
   Dispatcher dispatcher_;
 };
 
-// A stream went on at any engine of its service.
-Test(version_placement, a_request_that_goes_on_with_a_stream_goes_to_its_version_only) {
+// Guards against continuing a stream at an engine of another version of its service.
+Test(version_placement, a_resumed_stream_goes_to_its_version_only) {
   MixedFleet fleet;
   for (int i = 0; i < kRequests; ++i) {
     RequestProfile profile = MakeProfile(static_cast<uint64_t>(i % 7));
@@ -69,7 +68,7 @@
   }
 }
 
-// Coordinators of earlier builds do not hear the version.
+// Coordinators of earlier builds are not told the version.
 Test(version_placement, a_grant_at_another_version_is_not_adopted) {
   MixedFleet fleet;
   RequestProfile profile = MakeProfile(1);
@@ -82,16 +81,16 @@
   }
 }
 
-// An engine that starts again with another version while a request is on its way to it.
-Test(version_placement, nothing_is_sent_to_an_engine_that_has_another_version_meanwhile) {
+// The version of the engine changes while a request is on its way to it.
+Test(version_placement, nothing_is_sent_after_the_engine_changed_its_version) {
   MixedFleet fleet;
   RequestProfile profile = MakeProfile(1);
   profile.version = "v1";
   const auto placement = fleet->Place(profile, {}, kStart);
   cr_assert(placement.has_value());
-  Backend again = placement->backend;
-  again.version = "v2";
-  fleet->Registry().Put(again);
+  Backend upgraded = placement->backend;
+  upgraded.version = "v2";
+  fleet->Registry().Put(upgraded);
   cr_assert(!fleet->MaySend(*placement, profile, kStart));
 }
 
@@ -108,10 +107,10 @@
     ++fetched;
     cr_assert(fleet.VersionOf(placement->fetch_prefix_key) == placement->backend.version);
   }
-  cr_assert(fetched > 0, "the test shows nothing");
+  cr_assert(fetched > 0, "no prompt memory was fetched, so nothing was checked");
 }
 
-Test(version_placement, a_grant_to_fetch_prompt_memory_of_another_version_is_adopted_without_it) {
+Test(version_placement, a_grant_is_adopted_without_prompt_memory_of_another_version) {
   MixedFleet fleet;
   for (int holder = 1; holder < kEngines; ++holder) {
     PlacementGrant grant;
--- a/libs/dispatch/tests/zone_drains_test.cc
+++ b/libs/dispatch/tests/zone_drains_test.cc
@@ -16,11 +16,11 @@
   cr_assert(!drains.IsDrained("a") && drains.IsEmpty());
 }
 
-Test(zone_drains, the_same_word_twice_changes_nothing) {
+Test(zone_drains, a_repeated_call_changes_nothing) {
   ZoneDrains drains;
   drains.Drain("a", kStart);
   cr_assert(!drains.Drain("a", kStart + seconds(3)));
-  cr_assert(drains.DrainedSince("a") == kStart, "it has been drained since the first word");
+  cr_assert(drains.DrainedSince("a") == kStart, "it has been drained since the first call");
   drains.Restore("a", kStart + seconds(5));
   cr_assert(!drains.Restore("a", kStart + seconds(9)));
   cr_assert(drains.RestoredAt("a") == kStart + seconds(5));
