--- a/libs/dispatch/tests/backend_registry_test.cc
+++ b/libs/dispatch/tests/backend_registry_test.cc
@@ -145,7 +145,7 @@
 Test(registry, an_entry_of_an_unconfigured_service_hides_no_live_back_end) {
   BackendRegistry registry;
   registry.Put(Make("live", "a:1", 5));
-  Backend unconfigured = Make("unconfigured", "a:1", 9);
+  Backend unconfigured = Make("stranger", "a:1", 9);
   unconfigured.service = "unheard-of";
   registry.Put(unconfigured);
   cr_assert(registry.ReadyOf("s").empty(), "the configured services are not known yet");
--- a/libs/dispatch/tests/limited_back_ends_test.cc
+++ b/libs/dispatch/tests/limited_back_ends_test.cc
@@ -41,11 +41,11 @@
 
 void NameRate(Dispatcher& dispatcher, const std::string& engine, std::optional<double> per_s,
               TimePoint now) {
-  RateNotice word;
-  word.per_s = per_s;
-  word.asked = now - milliseconds(1);
-  word.read.at = now;
-  (void)dispatcher.Registry().NoteRate(KeyOf(engine), word);
+  RateNotice notice;
+  notice.per_s = per_s;
+  notice.asked = now - milliseconds(1);
+  notice.read.at = now;
+  (void)dispatcher.Registry().NoteRate(KeyOf(engine), notice);
 }
 
 double AllowedInWindow(double per_s) {
@@ -135,7 +135,7 @@
   }
   const size_t most = MaxSentInWindow(sent, holds);
   cr_assert(most <= static_cast<size_t>(allowed), "%zu in 4 s, %d allowed", most, allowed);
-  cr_assert(sent.size() > static_cast<size_t>(allowed), "it is not left out either");
+  cr_assert(sent.size() > static_cast<size_t>(allowed), "the engine still gets requests");
 }
 
 Test(limited_back_ends, callers_do_not_wait_where_another_one_is_free) {
@@ -229,7 +229,7 @@
   const TimePoint never = TimePoint::min();
   cr_assert(!dispatcher.Adopt("n1", grant, MakeProfile(), never, kStart).has_value());
   cr_assert(dispatcher.Adopt("n1", grant, MakeProfile(), kStart, kStart).has_value(),
-            "it knows of another word since");
+            "it knows of a later notice");
   NameRate(dispatcher, "e", 1, kStart + seconds(1));
   cr_assert(!dispatcher.Adopt("n1", grant, MakeProfile(), kStart, kStart + seconds(1)).has_value());
   grant.is_metered = true;
@@ -265,10 +265,10 @@
   engine.started_ms = 1800000000000;
   dispatcher.Registry().Put(engine);
   const BackendKey earlier = dispatcher.Registry().Find("e")->key;
-  RateNotice word;
-  word.per_s = 1;
-  word.read = {kStart, milliseconds(1800000100000)};
-  (void)dispatcher.Registry().NoteRate(earlier, word);
+  RateNotice notice;
+  notice.per_s = 1;
+  notice.read = {kStart, milliseconds(1800000100000)};
+  (void)dispatcher.Registry().NoteRate(earlier, notice);
   engine.started_ms = 1800000090000;
   dispatcher.Registry().Put(engine);
   const BackendKey later = dispatcher.Registry().Find("e")->key;
--- a/libs/dispatch/tests/lost_back_ends_test.cc
+++ b/libs/dispatch/tests/lost_back_ends_test.cc
@@ -167,7 +167,7 @@
   }
   cr_assert(sent.size() >= 10, "%zu", sent.size());
   now = kStart + seconds(3) + milliseconds(10);
-  cr_assert(fleet.ServedShare(&now, now + seconds(1), 6) == 1, "warm as they told");
+  cr_assert(fleet.ServedShare(&now, now + seconds(1), 6) == 1, "warm as reported");
 }
 
 Test(lost_back_ends, are_queried_less_often_when_they_do_not_answer) {
--- a/libs/dispatch/tests/rate_limits_test.cc
+++ b/libs/dispatch/tests/rate_limits_test.cc
@@ -71,14 +71,14 @@
   const std::vector<std::optional<double>> named_rates = {4.0, 1.5,          std::nullopt, 0.5,
                                                           3.0, std::nullopt, 2.0};
   for (int round = 0; round < 200; ++round) {
-    std::vector<RateNotice> words;
+    std::vector<RateNotice> notices;
     for (size_t i = 0; i < named_rates.size(); ++i) {
       const auto at = milliseconds(1000 * i);
-      words.push_back(NoticeAt(named_rates[i], at, at + milliseconds(300)));
+      notices.push_back(NoticeAt(named_rates[i], at, at + milliseconds(300)));
     }
-    std::shuffle(words.begin(), words.end(), random);
+    std::shuffle(notices.begin(), notices.end(), random);
     RateLimits limits;
-    for (const RateNotice& word : words) (void)limits.Note(kEngine, word);
+    for (const RateNotice& notice : notices) (void)limits.Note(kEngine, notice);
     cr_assert(limits.Of(kEngine)->per_s == 2.0);
   }
 }
