--- a/libs/relay/src/wire/capnp_bytes.cc
+++ b/libs/relay/src/wire/capnp_bytes.cc
@@ -9,7 +9,8 @@
 namespace cartsail {
 namespace {
 
-constexpr size_t kMostWords = 1 << 22;  // of a message that is read
+// Traversal limit of a received message, in 8-byte words.
+constexpr size_t kMaxTraversalWords = 1 << 22;
 
 }  // namespace
 
@@ -26,7 +27,7 @@
                                                    bytes.size());
     kj::ArrayInputStream input(input_bytes);
     capnp::ReaderOptions options;
-    options.traversalLimitInWords = kMostWords;
+    options.traversalLimitInWords = kMaxTraversalWords;
     capnp::PackedMessageReader message(input, options);
     read(message);
   };
--- a/libs/relay/src/wire/capnp_bytes.h
+++ b/libs/relay/src/wire/capnp_bytes.h
@@ -1,4 +1,4 @@
-// Packed Cap'n Proto messages as byte strings.
+// Conversion between Cap'n Proto messages and packed byte strings.
 #pragma once
 
 #include <capnp/message.h>
@@ -11,14 +11,14 @@
 
 std::string PackedBytes(capnp::MessageBuilder& message);
 
-// Calls `read` with the message; false when the bytes are none.
+// Decodes `bytes` and calls `read` with the message. Returns false when decoding or `read` fails.
 bool ReadPacked(std::string_view bytes, const std::function<void(capnp::MessageReader&)>& read);
 
 std::string TextOf(capnp::Text::Reader text);
 
 std::string BytesOf(capnp::Data::Reader data);
 
-// Fills `data`, which has the size of `bytes`.
+// Copies `bytes` into `data`, which must have the same size.
 void SetBytes(capnp::Data::Builder data, std::string_view bytes);
 
 }  // namespace cartsail
--- a/libs/relay/src/wire/host_number.h
+++ b/libs/relay/src/wire/host_number.h
@@ -1,4 +1,4 @@
-// Hosts of nodes, IPv4 addresses as text, as the numbers that messages carry.
+// Conversion of node hosts between IPv4 text and the 32-bit numbers used in messages.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace cartsail {
 
-// 0 when the text is no IPv4 address.
+// Returns 0 when `host` is not an IPv4 address.
 uint32_t HostNumber(const std::string& host);
 
 std::string HostText(uint32_t number);
--- a/libs/relay/src/wire/wire_number.h
+++ b/libs/relay/src/wire/wire_number.h
@@ -1,4 +1,4 @@
-// Measures as whole numbers of messages.
+// Conversion of measured values to integer message fields.
 #pragma once
 
 #include <algorithm>
@@ -7,11 +7,11 @@
 
 namespace cartsail {
 
-// The nearest whole number, kept within what `Integer` holds; nothing below 0.
+// Rounds `value` to the nearest integer and clamps it to [0, maximum of `Integer`].
 template <typename Integer>
 Integer BoundedTo(double value) {
-  const auto most = static_cast<double>(std::numeric_limits<Integer>::max());
-  return static_cast<Integer>(std::clamp(std::round(value), 0.0, most));
+  const auto max = static_cast<double>(std::numeric_limits<Integer>::max());
+  return static_cast<Integer>(std::clamp(std::round(value), 0.0, max));
 }
 
 }  // namespace cartsail
--- a/libs/relay/src/wire/zstd_frame.cc
+++ b/libs/relay/src/wire/zstd_frame.cc
@@ -10,10 +10,10 @@
 namespace cartsail {
 namespace {
 
-// Fast levels keep the compressor's memory at a few hundred KB, of the 32 MB that a node may use.
-constexpr int kLevel = 1;
-// Bounds what a damaged frame can make a node allocate; the store holds values up to 1 MB.
-constexpr size_t kMostTextBytes = 16 << 20;
+// Low levels limit the compressor's memory to a few hundred KB of a node's 32 MB memory budget.
+constexpr int kCompressionLevel = 1;
+// Limits the memory allocated for a corrupt frame. The store holds values of up to 1 MB.
+constexpr size_t kMaxTextBytes = 16 << 20;
 
 struct ContextDeleter {
   void operator()(ZSTD_CCtx* context) const { ZSTD_freeCCtx(context); }
@@ -28,8 +28,8 @@
 
 std::string CompressFrame(std::string_view prefix, std::string_view text) {
   const std::unique_ptr<ZSTD_CCtx, ContextDeleter> context(ZSTD_createCCtx());
-  ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, kLevel);
-  // A frame read with another prefix would unpack into other text: the checksum shows it.
+  ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, kCompressionLevel);
+  // Decompression with a different prefix would yield a different text; the checksum detects this.
   ZSTD_CCtx_setParameter(context.get(), ZSTD_c_checksumFlag, 1);
   ZSTD_CCtx_refPrefix(context.get(), prefix.data(), prefix.size());
   std::string frame(ZSTD_compressBound(text.size()), '\0');
@@ -42,9 +42,11 @@
 absl::StatusOr<std::string> DecompressFrame(std::string_view prefix, std::string_view frame) {
   const unsigned long long size = ZSTD_getFrameContentSize(frame.data(), frame.size());
   if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN) {
-    return FrameError("malformed");
+    return FrameError("invalid header or unknown content size");
+  }
+  if (size > kMaxTextBytes) {
+    return FrameError(fmt::format("content size {} exceeds {} bytes", size, kMaxTextBytes));
   }
-  if (size > kMostTextBytes) return FrameError("too large");
   const std::unique_ptr<ZSTD_DCtx, ContextDeleter> context(ZSTD_createDCtx());
   ZSTD_DCtx_refPrefix(context.get(), prefix.data(), prefix.size());
   std::string text(size, '\0');
--- a/libs/relay/src/wire/zstd_frame.h
+++ b/libs/relay/src/wire/zstd_frame.h
@@ -1,4 +1,4 @@
-// Texts as zstd frames, compressed against an earlier text that both sides have. Pure.
+// Compression of texts into zstd frames, with an earlier text known to both sides as prefix. Pure.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -8,10 +8,12 @@
 
 namespace cartsail {
 
-// With an empty prefix the frame holds the whole text.
+// Returns a zstd frame; empty when compression fails. With an empty prefix the frame is
+// self-contained.
 std::string CompressFrame(std::string_view prefix, std::string_view text);
 
-// The text. kInvalidArgument when `frame` is none, or was made with another prefix.
+// Returns the decompressed text; kInvalidArgument when `frame` is invalid, exceeds the size limit
+// or was compressed with a different prefix.
 absl::StatusOr<std::string> DecompressFrame(std::string_view prefix, std::string_view frame);
 
 }  // namespace cartsail
