--- a/libs/relay/src/fleet/peer_gossip.cc
+++ b/libs/relay/src/fleet/peer_gossip.cc
@@ -9,42 +9,49 @@
 namespace cartsail {
 namespace {
 
-// A node pings one other this often. With the answers and what others ask of it about 8 messages
-// of some 130 bytes a second, 1 KB of the 9 KB that a node may use for control.
+// Interval between probes of one other node. Including acknowledgements and requested pings, this
+// is about 8 messages of 130 bytes per second: 1 KB/s of a node's 9 KB/s control traffic budget.
 constexpr Duration kProbeInterval = milliseconds(250);
-// Answers take 1 to 3 ms between zones; a node that has used up its share of a core answers after
-// a tenth of a second.
-constexpr Duration kAnswerPatience = milliseconds(120);
-// Nodes that are asked to ping one that did not answer. With one in ten datagrams lost on all
-// links, about one probe in 700 raises a false suspicion (worked out).
-constexpr size_t kOthersAsked = 3;
-// A suspect has this time to refute the suspicion, and its word to reach all.
+// Acknowledgements take 1 to 3 ms between zones; a node whose CPU quota is exhausted answers after
+// about 100 ms.
+constexpr Duration kAckTimeout = milliseconds(120);
+// Number of nodes asked to ping a node that did not answer. At 10% datagram loss on all links,
+// about one probe in 700 raises a false suspicion (calculated).
+constexpr size_t kIndirectProbes = 3;
+// Time for a suspect to refute the suspicion and for the refutation to reach all nodes.
 constexpr Duration kSuspicionTimeout = milliseconds(1000);
-// One ping of so many goes to another zone; the others stay within it, where bytes cost nothing.
-constexpr int kFarOneOf = 4;
-// Bytes of updates in one message, which fits one packet with them. Who lives is named with all
-// that others need to know of it, who doesn't by its address alone.
-constexpr size_t kMostUpdateBytes = 640;
+// One in this many probes goes to another zone; the others stay within the zone, where traffic is
+// free.
+constexpr int kCrossZoneProbePeriod = 4;
+// Limit on the bytes of membership updates in one message, so that the message fits one packet. An
+// update about a live node carries its full state, one about any other node only its address.
+constexpr size_t kMaxUpdateBytes = 640;
 constexpr size_t kAliveBytes = 44;
 constexpr size_t kNotAliveBytes = 16;
-// Each node tells an update so many times: of nodes that are told at random, one in e^10 is missed,
-// and finds out by a sync.
-constexpr int kTimesTold = 10;
-constexpr size_t kToldOfOwnChange = 16;  // nodes that are told at once
-// When more nodes than this join at a time, syncs make them known: telling all of 480 joins in turn
-// would take 41 s and hold up other news.
-constexpr size_t kMostJoinsTold = 24;
-// A gap between ticks that means that this process did not run: answers may be waiting unread.
+// Number of times that each node sends an update. With random targets one node in e^10 is missed
+// and learns of the update by a sync.
+constexpr int kUpdateTransmissions = 10;
+// Number of nodes that are notified immediately of a change of this node's own state.
+constexpr size_t kOwnChangeFanout = 16;
+// Limit on queued join updates. Further joins spread by syncs: sending updates for 480 joins in
+// turn would take 41 s and delay other updates.
+constexpr size_t kMaxQueuedJoins = 24;
+// A longer gap between ticks means that this process was not running, so that acknowledgements may
+// be waiting unread.
 constexpr Duration kPauseThreshold = milliseconds(400);
-constexpr int kQuickLoneCalls = 4;                       // two of three seeds may be gone
-constexpr Duration kSilentInterval = milliseconds(500);  // between pings to hosts that are not live
-// A node learns the members that it doesn't know by syncs, more of them while there is much news.
+// Join attempts before the interval backs off, since two of three seeds may be down.
+constexpr int kQuickJoinAttempts = 4;
+// Interval between pings to hosts that are not live.
+constexpr Duration kUnreachableInterval = milliseconds(500);
+// Bounds of the interval between syncs, which fetch unknown members; it is short while replies
+// contain many new members.
 constexpr Duration kShortestSyncInterval = milliseconds(80);
 constexpr Duration kLongestSyncInterval = seconds(5);
-constexpr size_t kMuchNews = 3;  // members that one reply made known
-// A datagram of that many members has about 1.1 KB and fits one packet.
-constexpr size_t kMembersInReply = 24;
-constexpr size_t kMostReplies = 2;
+// Number of new members in one reply from which the sync interval drops to the shortest.
+constexpr size_t kManyNewMembers = 3;
+// A datagram with this many members has about 1.1 KB and fits one packet.
+constexpr size_t kMembersPerReply = 24;
+constexpr size_t kMaxSyncReplies = 2;
 constexpr size_t kChangesNamed = 5;
 constexpr Duration kRequestedPingTimeout = seconds(1);
 
@@ -86,7 +93,7 @@
   return message;
 }
 
-// Those that were told least come first.
+// Appends queued updates up to the size limit, those sent least often first.
 void PeerGossip::AddUpdates(TimePoint now, GossipMessage* message) {
   std::vector<std::pair<int, std::string>> waiting;
   waiting.reserve(updates_.size());
@@ -97,13 +104,13 @@
     const PeerRecord* peer = peers_.Find(host);
     const bool is_alive = peer != nullptr && peer->status == PeerStatus::kAlive;
     bytes += is_alive ? kAliveBytes : kNotAliveBytes;
-    if (bytes > kMostUpdateBytes) break;
+    if (bytes > kMaxUpdateBytes) break;
     if (--updates_[host] <= 0) updates_.erase(host);
     if (peer != nullptr) message->members.push_back(EntryOf(host, *peer, now));
   }
 }
 
-void PeerGossip::Enqueue(const std::string& host) { updates_[host] = kTimesTold; }
+void PeerGossip::Enqueue(const std::string& host) { updates_[host] = kUpdateTransmissions; }
 
 void PeerGossip::NoteChange(const std::string& host, bool joined) {
   ++(joined ? changes_.joined : changes_.left);
@@ -131,7 +138,7 @@
   if (!is_new && entry.incarnation <= known->incarnation) return;
   if (peers_.Heard(entry.host, entry.state, now)) NoteChange(entry.host, true);
   peers_.Find(entry.host)->incarnation = entry.incarnation;
-  if (is_new && updates_.size() >= kMostJoinsTold) return;
+  if (is_new && updates_.size() >= kMaxQueuedJoins) return;
   Enqueue(entry.host);
 }
 
@@ -165,9 +172,10 @@
   return hosts;
 }
 
-// Every live node in turn, in a new random order each time round.
+// Returns the next probe target: each live node of a zone in turn, reshuffled after each round.
+// Empty when no other node is live.
 std::optional<std::string> PeerGossip::NextTarget() {
-  const bool is_far = ++probes_ % kFarOneOf == 0;
+  const bool is_far = ++probes_ % kCrossZoneProbePeriod == 0;
   const std::string zone = peers_.Self(TimePoint()).zone;
   for (const bool wants_far : {is_far, !is_far}) {
     std::vector<std::string>& order = wants_far ? far_ : near_;
@@ -198,7 +206,7 @@
     }
   }
   probe_.reset();
-  // Not all nodes at the same moment.
+  // Jitter keeps nodes from probing in step.
   std::uniform_real_distribution<double> jitter(0.8, 1.2);
   next_probe_ = now + FromSeconds(ToSeconds(kProbeInterval) * jitter(random_));
   const std::optional<std::string> target = NextTarget();
@@ -210,10 +218,10 @@
 void PeerGossip::WatchProbe(TimePoint now, const StoreView& view,
                             std::vector<AddressedGossip>* out) {
   if (!probe_.has_value() || probe_->answered || probe_->asked_others) return;
-  if (now - probe_->begun < kAnswerPatience) return;
+  if (now - probe_->begun < kAckTimeout) return;
   probe_->asked_others = true;
   out->push_back({probe_->host, Make(GossipKind::kPing, probe_->sequence, now, view)});
-  for (const std::string& helper : SomeLive(kOthersAsked, probe_->host)) {
+  for (const std::string& helper : SomeLive(kIndirectProbes, probe_->host)) {
     GossipMessage request = Make(GossipKind::kPingRequest, probe_->sequence, now, view);
     request.subject = probe_->host;
     out->push_back({helper, std::move(request)});
@@ -230,23 +238,26 @@
   for (const std::string& host : expired) MarkGone(host, now);
 }
 
-// Until a node has heard of another one. All nodes of a fleet that starts know the same three
-// seeds, which cannot answer hundreds of them at once.
-Duration PeerGossip::NextLoneCall() {
+// Returns the delay to the next join attempt while no other node is live. Backs off with jitter:
+// all nodes of a starting fleet know the same three seeds, which cannot answer hundreds of nodes at
+// once.
+Duration PeerGossip::NextJoinDelay() {
   Duration pause = kShortestSyncInterval;
-  for (int i = kQuickLoneCalls; i < lone_calls_ && pause < kSilentInterval; ++i) pause *= 2;
-  ++lone_calls_;
+  for (int i = kQuickJoinAttempts; i < join_attempts_ && pause < kUnreachableInterval; ++i)
+    pause *= 2;
+  ++join_attempts_;
   std::uniform_real_distribution<double> jitter(0.5, 1.5);
-  return FromSeconds(ToSeconds(std::min(pause, kSilentInterval)) * jitter(random_));
+  return FromSeconds(ToSeconds(std::min(pause, kUnreachableInterval)) * jitter(random_));
 }
 
-// Hosts that were named but not heard, and nodes that are gone: links heal, nodes start again.
-void PeerGossip::CallSilent(TimePoint now, const StoreView& view,
-                            std::vector<AddressedGossip>* out) {
-  if (now < next_call_) return;
+// Contacts a random host that is not live, either never heard or gone, since links recover and
+// nodes restart.
+void PeerGossip::ContactUnreachable(TimePoint now, const StoreView& view,
+                                    std::vector<AddressedGossip>* out) {
+  if (now < next_contact_) return;
   const bool is_alone = peers_.LiveCount() == 0;
-  if (!is_alone) lone_calls_ = 0;
-  next_call_ = now + (is_alone ? NextLoneCall() : kSilentInterval);
+  if (!is_alone) join_attempts_ = 0;
+  next_contact_ = now + (is_alone ? NextJoinDelay() : kUnreachableInterval);
   std::vector<std::string> silent;
   for (const auto& [host, peer] : peers_.Peers()) {
     if (!PeerTable::IsLive(peer)) silent.push_back(host);
@@ -259,7 +270,7 @@
                  : AddressedGossip{host, Make(GossipKind::kPing, next_sequence_++, now, view)});
     const PeerRecord* peer = peers_.Find(host);
     if (peer == nullptr || peer->status != PeerStatus::kGone) continue;
-    // So that a node that lives hears of it and refutes it.
+    // Lets a node that is in fact live learn its recorded status and refute it.
     out->back().message.members.push_back(EntryOf(host, *peer, now));
   }
 }
@@ -290,17 +301,17 @@
     if (known.contains(SyncHash(other, message.sequence))) continue;
     missing.push_back(EntryOf(other, peer, now));
   }
-  // Nodes that start together learn different parts and get the rest from each other.
+  // Shuffled so that nodes that start together learn different members and exchange the rest.
   std::shuffle(missing.begin(), missing.end(), random_);
   std::vector<AddressedGossip> replies;
   size_t next = 0;
   do {
     GossipMessage reply = Make(GossipKind::kSyncReply, message.sequence, now, view);
-    for (; next < missing.size() && reply.members.size() < kMembersInReply; ++next) {
+    for (; next < missing.size() && reply.members.size() < kMembersPerReply; ++next) {
       reply.members.push_back(std::move(missing[next]));
     }
     replies.push_back({host, std::move(reply)});
-  } while (next < missing.size() && replies.size() < kMostReplies);
+  } while (next < missing.size() && replies.size() < kMaxSyncReplies);
   return replies;
 }
 
@@ -310,10 +321,10 @@
   });
 }
 
-// A node that lives hears what is believed of it here, so that it refutes that with its next
-// message.
-void PeerGossip::TellStatus(const std::string& host, const MemberEntry& sender, TimePoint now,
-                            const StoreView& view, std::vector<AddressedGossip>* out) {
+// Tells a sender that is recorded as not alive, or under a newer incarnation, of that record, so
+// that it refutes it with its next message.
+void PeerGossip::ReportStatus(const std::string& host, const MemberEntry& sender, TimePoint now,
+                              const StoreView& view, std::vector<AddressedGossip>* out) {
   const PeerRecord* peer = peers_.Find(host);
   if (peer == nullptr) return;
   if (peer->status == PeerStatus::kAlive && sender.incarnation >= peer->incarnation) return;
@@ -323,16 +334,17 @@
   out->front().message.members.push_back(EntryOf(host, *peer, now));
 }
 
-// Others rely on these soon: a node that stops, or that begins or ceases to bridge.
-void PeerGossip::TellOwnChanges(TimePoint now, const StoreView& view,
-                                std::vector<AddressedGossip>* out) {
+// Notifies some nodes at once when this node starts to stop, or starts or ceases to bridge: other
+// nodes depend on these changes soon.
+void PeerGossip::AnnounceOwnChanges(TimePoint now, const StoreView& view,
+                                    std::vector<AddressedGossip>* out) {
   const NodeState self = peers_.Self(now);
-  const bool is_told = self.stopping == told_stopping_ && self.bridges == told_bridges_;
+  const bool is_told = self.stopping == announced_stopping_ && self.bridges == announced_bridges_;
   if (is_told) return;
-  told_stopping_ = self.stopping;
-  told_bridges_ = self.bridges;
+  announced_stopping_ = self.stopping;
+  announced_bridges_ = self.bridges;
   ++incarnation_;
-  for (const std::string& host : SomeLive(kToldOfOwnChange, "")) {
+  for (const std::string& host : SomeLive(kOwnChangeFanout, "")) {
     out->push_back({host, Make(GossipKind::kPing, next_sequence_++, now, view)});
   }
 }
@@ -343,17 +355,17 @@
   last_tick_ = now;
   if (was_paused) {
     probe_.reset();
-    // Suspects may have refuted it meanwhile.
+    // Restarts the suspicion timeout: refutations may have arrived during the pause.
     for (const LivePeer& peer : peers_.LivePeers()) {
       PeerRecord* record = peers_.Find(peer.host);
       if (record->status == PeerStatus::kSuspect) record->changed = now;
     }
   }
-  TellOwnChanges(now, view, &out);
+  AnnounceOwnChanges(now, view, &out);
   WatchProbe(now, view, &out);
   ProbeNext(now, view, &out);
   ExpireSuspects(now);
-  CallSilent(now, view, &out);
+  ContactUnreachable(now, view, &out);
   Sync(now, view, &out);
   ForgetRequestedPings(now);
   return out;
@@ -370,7 +382,7 @@
 }
 
 void PeerGossip::NoteSyncReply(size_t learnt, TimePoint now) {
-  if (learnt >= kMuchNews) {
+  if (learnt >= kManyNewMembers) {
     sync_interval_ = kShortestSyncInterval;
   } else if (learnt == 0) {
     sync_interval_ = std::min<Duration>(2 * sync_interval_, kLongestSyncInterval);
@@ -382,7 +394,7 @@
                                                    const GossipMessage& message, TimePoint now,
                                                    const StoreView& view) {
   std::vector<AddressedGossip> out;
-  // A message that claims to come from elsewhere is none of a node.
+  // Rejects messages whose claimed sender differs from the source address.
   if (message.sender.host != host || host == host_) return out;
   last_heard_ = now;
   const size_t known_before = peers_.LiveCount();
@@ -407,7 +419,7 @@
       NoteSyncReply(peers_.LiveCount() - known_before, now);
       break;
   }
-  TellStatus(host, message.sender, now, view, &out);
+  ReportStatus(host, message.sender, now, view, &out);
   return out;
 }
 
--- a/libs/relay/src/fleet/peer_gossip.h
+++ b/libs/relay/src/fleet/peer_gossip.h
@@ -1,8 +1,8 @@
-// Which nodes are live, found out by all nodes together (SWIM): each node pings one other one at a
-// time, asks three more to ping it when no answer comes, and passes on with its messages what it
-// believes of others. What a node sends and receives does not grow with the fleet, but for the
-// names of members in a sync. A wrong belief costs precision: a node that hears itself suspected
-// refutes that with a greater incarnation. Pure.
+// Membership and failure detection by the SWIM protocol: each node pings one other node at a time,
+// asks three more to ping it when no acknowledgement arrives, and piggybacks membership updates on
+// its messages. Traffic per node does not grow with the fleet, except for the member hashes in a
+// sync. A wrong status only costs precision: a node that learns that it is suspected refutes this
+// with a greater incarnation. Pure.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 namespace cartsail {
 
-// A message and the host it goes to.
+// A message and its destination host.
 struct AddressedGossip {
   std::string host;
   GossipMessage message;
@@ -25,21 +25,21 @@
 
 class PeerGossip {
  public:
-  // How often Tick() is to be called.
+  // Interval at which Tick() must be called.
   static constexpr Duration kTick = milliseconds(50);
 
-  // `incarnation`: greater than that of the process that ran at this host before, where that can
-  // be told; if it isn't, others refute it and it is raised. `seed`: of all random choices.
+  // `incarnation` should exceed that of the previous process at this host; otherwise peers report
+  // the greater one and this node raises its own. `seed` initializes the random generator.
   PeerGossip(PeerTable& peers, std::string host, uint32_t incarnation, uint64_t seed);
 
-  // Time has passed. Returns what is to be sent now.
+  // Advances all timers to `now` and returns the messages to send.
   std::vector<AddressedGossip> Tick(TimePoint now, const StoreView& view);
 
-  // Returns the answers to send.
+  // Processes a message received from `host` and returns the messages to send.
   std::vector<AddressedGossip> OnMessage(const std::string& host, const GossipMessage& message,
                                          TimePoint now, const StoreView& view);
 
-  // How many joined and left the view since the last call, and the hosts of some of them.
+  // Numbers of nodes that joined and left since the last TakeChanges(), and some of their hosts.
   struct Changes {
     int joined = 0;
     int left = 0;
@@ -47,7 +47,7 @@
   };
   Changes TakeChanges();
 
-  // When another node was last heard; the start of time when none was.
+  // Time of the last message from another node; TimePoint() if there was none.
   TimePoint LastHeard() const { return last_heard_; }
 
  private:
@@ -59,10 +59,10 @@
     bool answered = false;
   };
 
-  // A ping that another node asked for.
+  // A ping sent on behalf of another node.
   struct RequestedPing {
     std::string requester;
-    uint32_t sequence = 0;  // of the request
+    uint32_t sequence = 0;  // of the ping request
     TimePoint begun;
   };
 
@@ -80,21 +80,21 @@
   void ProbeNext(TimePoint now, const StoreView& view, std::vector<AddressedGossip>* out);
   void WatchProbe(TimePoint now, const StoreView& view, std::vector<AddressedGossip>* out);
   void ExpireSuspects(TimePoint now);
-  Duration NextLoneCall();
-  void TellOwnChanges(TimePoint now, const StoreView& view, std::vector<AddressedGossip>* out);
-  void CallSilent(TimePoint now, const StoreView& view, std::vector<AddressedGossip>* out);
+  Duration NextJoinDelay();
+  void AnnounceOwnChanges(TimePoint now, const StoreView& view, std::vector<AddressedGossip>* out);
+  void ContactUnreachable(TimePoint now, const StoreView& view, std::vector<AddressedGossip>* out);
   void Sync(TimePoint now, const StoreView& view, std::vector<AddressedGossip>* out);
   AddressedGossip MakeSync(const std::string& host, TimePoint now, const StoreView& view);
   std::vector<AddressedGossip> AnswerSync(const std::string& host, const GossipMessage& message,
                                           TimePoint now, const StoreView& view);
   void OnAck(uint32_t sequence, TimePoint now, const StoreView& view,
              std::vector<AddressedGossip>* out);
-  void TellStatus(const std::string& host, const MemberEntry& sender, TimePoint now,
-                  const StoreView& view, std::vector<AddressedGossip>* out);
+  void ReportStatus(const std::string& host, const MemberEntry& sender, TimePoint now,
+                    const StoreView& view, std::vector<AddressedGossip>* out);
   std::optional<std::string> NextTarget();
   std::vector<std::string> SomeLive(size_t count, const std::string& except);
   void ForgetRequestedPings(TimePoint now);
-  // `learnt`: members that a reply made known.
+  // Adapts the sync interval. `learnt` is the number of members first learnt from the reply.
   void NoteSyncReply(size_t learnt, TimePoint now);
 
   PeerTable& peers_;
@@ -102,25 +102,25 @@
   uint32_t incarnation_;
   std::mt19937_64 random_;
   uint32_t next_sequence_;
-  bool told_stopping_ = false;
-  bool told_bridges_ = false;
+  bool announced_stopping_ = false;
+  bool announced_bridges_ = false;
   std::optional<Probe> probe_;
   TimePoint next_probe_{};
-  std::vector<std::string> near_;  // targets of this zone, in random order, the next one last
-  std::vector<std::string> far_;   // the same, of the other zones
+  std::vector<std::string> near_;  // probe targets of this zone, shuffled, next one last
+  std::vector<std::string> far_;   // probe targets of other zones, likewise
   int probes_ = 0;
-  std::map<std::string, int> updates_;                 // times still to be told, by host
-  std::map<uint32_t, RequestedPing> requested_pings_;  // by sequence of this node's ping
+  std::map<std::string, int> updates_;                 // remaining transmissions, by host
+  std::map<uint32_t, RequestedPing> requested_pings_;  // by sequence of the ping sent by this node
   TimePoint last_tick_{};
   TimePoint last_heard_{};
-  TimePoint next_call_{};  // of silent hosts
+  TimePoint next_contact_{};  // to a host that is not live
   TimePoint next_sync_{};
   Duration sync_interval_;
-  int lone_calls_ = 0;  // since this node heard of nobody
+  int join_attempts_ = 0;  // join attempts since no other node is live
   Changes changes_;
 };
 
-// A host in a sync: hosts that share the hash of one sync differ in the next one.
+// Salted hash of a host in a sync. Hosts that collide under one salt differ under the next.
 uint16_t SyncHash(const std::string& host, uint32_t salt);
 
 }  // namespace cartsail
--- a/libs/relay/src/fleet/peer_table.cc
+++ b/libs/relay/src/fleet/peer_table.cc
@@ -9,18 +9,18 @@
 namespace cartsail {
 namespace {
 
-constexpr Duration kForgottenAfter = seconds(30);
-// A part of a fleet that is cut off must not take itself for the whole when it has forgotten the
-// others; nodes that were lost for good stand in the way of a majority until then.
+constexpr Duration kForgetAfter = seconds(30);
+// Keeps a partition from taking itself for the whole fleet after it has forgotten the other nodes.
+// Until this time has passed, permanently lost nodes count against a majority.
 constexpr Duration kCountedAfterForgotten = std::chrono::minutes(5);
-constexpr Duration kSettledAfter = seconds(3);  // uptime from which all nodes know a node
-constexpr double kCapacityClasses = 10;         // of a core: small differences don't count
-// Every request needs a ranking, which looks at all nodes; nodes settle at any time, so it is made
-// anew also while no node comes or goes.
-constexpr Duration kRankingHolds = milliseconds(50);
+constexpr Duration kSettledAfter = seconds(3);  // uptime after which all nodes know a node
+constexpr double kCapacityClasses = 10;         // per core: ignores small differences
+// Lifetime of a cached ranking. Every request needs one, and computing it visits all nodes. Nodes
+// settle at any time, so rankings expire even while no node joins or leaves.
+constexpr Duration kRankingLifetime = milliseconds(50);
 constexpr char kReading[] = "reading the store";
 
-// The order of nodes that may do something for all: greater ones come first.
+// Sort key of a node in a ranking; greater keys come first.
 struct NodeRank {
   bool settled;
   int64_t capacity;
@@ -105,7 +105,7 @@
                                          TimePoint now) const {
   Ranking& ranking = rankings_[purpose];
   const bool holds = ranking.epoch == epoch_ && ranking.count >= count && now >= ranking.made &&
-                     now - ranking.made < kRankingHolds;
+                     now - ranking.made < kRankingLifetime;
   if (!holds) {
     const uint64_t seed = Hash64(purpose);
     std::vector<NodeRank> ranks;
@@ -169,7 +169,7 @@
 void PeerTable::ForgetSilent(TimePoint now) {
   std::erase_if(peers_, [this, now](const auto& entry) {
     const PeerRecord& peer = entry.second;
-    if (IsLive(peer) || now - std::max(peer.added, peer.changed) <= kForgottenAfter) return false;
+    if (IsLive(peer) || now - std::max(peer.added, peer.changed) <= kForgetAfter) return false;
     if (!peer.state.stopping) forgotten_[entry.first] = now;
     return true;
   });
@@ -189,7 +189,7 @@
 int64_t PeerTable::NodesNotEnded() const {
   int64_t nodes = 1;
   for (const auto& [host, peer] : peers_) {
-    // One that told that it stops, and is gone, has ended.
+    // A node that announced its stop and is gone has ended.
     nodes += IsLive(peer) || !peer.state.stopping ? 1 : 0;
   }
   for (const auto& [host, since] : forgotten_) nodes += peers_.contains(host) ? 0 : 1;
--- a/libs/relay/src/fleet/peer_table.h
+++ b/libs/relay/src/fleet/peer_table.h
@@ -1,5 +1,5 @@
-// The other nodes as this one believes them to be; which nodes read the store for the others, and
-// which place requests for the others. Pure.
+// Table of known peers and their state, and the rankings that select store readers and placement
+// coordinators. Pure.
 #pragma once
 
 #include <cstdint>
@@ -15,37 +15,37 @@
 
 namespace cartsail {
 
-// What a node tells of itself.
+// State that a node announces about itself.
 struct NodeState {
-  std::string node;  // its name
+  std::string node;  // node name
   std::string zone;
   bool stopping = false;
-  double capacity = 0;  // share of a core that it may use
+  double capacity = 0;  // CPU quota in cores
   Duration uptime{};
-  bool bridges = false;  // it passes conversations with back ends on for other nodes
-  bool lends = false;    // repeats, to other nodes
-  // Begun streams for other nodes, and goes on with each at its version only.
+  bool bridges = false;  // relays connections to back ends for other nodes
+  bool lends = false;    // lends repeats to other nodes
+  // Keeps begun streams for other nodes, and continues each stream at its own version only.
   bool keeps_streams = false;
 };
 
 enum class PeerStatus : uint8_t {
-  kUnheard,  // a host that may be a node
+  kUnheard,  // known host that has not been heard
   kAlive,
-  kSuspect,  // did not answer; counts as live until it has had time to refute that
+  kSuspect,  // did not answer; counts as live until the suspicion times out
   kGone,
 };
 
 struct PeerRecord {
-  NodeState state;  // no name before it was heard; the uptime is that of `noted`
+  NodeState state;  // name is empty until heard; uptime is as of `noted`
   PeerStatus status = PeerStatus::kUnheard;
-  uint32_t incarnation = 0;  // a node's later statements about itself have greater ones
+  uint32_t incarnation = 0;  // increases with each newer statement of a node about itself
   TimePoint added;
-  TimePoint noted;    // when `state` held
-  TimePoint changed;  // of `status`
+  TimePoint noted;    // time as of which `state` is valid
+  TimePoint changed;  // last change of `status`
   int64_t document_version = 0;
 };
 
-// A live node as a target of messages.
+// Host and zone of a live node.
 struct LivePeer {
   std::string host;
   std::string zone;
@@ -53,94 +53,95 @@
 
 class PeerTable {
  public:
-  // `self`: of this node, at its start.
+  // `self` is the initial state of this node.
   PeerTable(NodeState self, TimePoint started) : self_(std::move(self)), started_(started) {}
 
-  // This node as its peers are told of it.
+  // Returns the state of this node as announced to peers.
   NodeState Self(TimePoint now) const;
 
   void SetStopping();
 
-  // Whether this node bridges.
+  // Sets whether this node relays back-end connections for other nodes.
   void SetBridges(bool bridges) { self_.bridges = bridges; }
 
-  // Whether this node lends repeats.
+  // Sets whether this node lends repeats.
   void SetLends(bool lends) { self_.lends = lends; }
 
-  // Whether this node keeps begun streams for others.
+  // Sets whether this node keeps begun streams for other nodes.
   void SetKeepsStreams(bool keeps) { self_.keeps_streams = keeps; }
 
-  // The part of all nodes that it has heard, live or lost, which lend repeats. The others are of
-  // builds that take a part of the extra repeats for themselves.
+  // Fraction of all nodes heard so far, live or lost, that lend repeats. The others run builds that
+  // take a share of the extra repeats for themselves.
   double LendingShare() const;
 
-  // Live nodes that bridge, and are not to stop.
+  // Live nodes that bridge and are not stopping.
   std::vector<LivePeer> Bridges() const;
   bool HasBridge() const;
 
-  // A host that may be a node.
+  // Adds a host that may be a node.
   void AddHost(const std::string& host, TimePoint now);
 
-  // What a live node tells of itself, or others tell of it. True when it was not live before.
+  // Records the state of a live node, from itself or from a third node. Returns true when the node
+  // was not live before.
   bool Heard(const std::string& host, const NodeState& state, TimePoint now);
 
   void SetStatus(const std::string& host, PeerStatus status, TimePoint now);
 
-  // Nothing when the host isn't known.
+  // Returns nullptr when the host is unknown.
   const PeerRecord* Find(const std::string& host) const;
   PeerRecord* Find(const std::string& host);
 
-  // A node has told that this version of the document is in force there.
+  // Records that `version` of the document is in force at `host`.
   void NoteDocument(const std::string& host, int64_t version);
 
-  // Live nodes that have not told that they have this version of the document, or a later one.
+  // Live nodes that have not reported this or a later version of the document.
   std::vector<LivePeer> PeersBehind(int64_t version) const;
 
-  // Forgets hosts that have not been live for long. FleetOf() goes on counting them for a while.
+  // Removes hosts that have not been live for a long time. FleetOf() still counts them for a while.
   void ForgetSilent(TimePoint now);
 
   static bool IsLive(const PeerRecord& peer) {
     return peer.status == PeerStatus::kAlive || peer.status == PeerStatus::kSuspect;
   }
 
-  // It is live, bridges and is not to stop.
+  // True when the peer is live, bridges and is not stopping.
   static bool IsBridge(const PeerRecord& peer);
 
-  // It is live and lends repeats.
+  // True when the peer is live and lends repeats.
   static bool IsLender(const PeerRecord& peer) { return IsLive(peer) && peer.state.lends; }
 
-  // This node's place, from 0, in the order in which nodes read the store for all; all nodes that
-  // know the same peers agree. A node that stops comes after all others.
+  // Zero-based rank of this node among the store readers. All nodes that know the same peers
+  // compute the same order. Stopping nodes rank last.
   size_t ReadingRank(TimePoint now) const;
 
-  // The nodes that place requests of `service`, the first one before the others: hosts, or "" for
-  // this node. All nodes that hear the same peers agree. Nodes that just started come last, since
-  // not all know them yet; nodes with more of a core come first.
+  // Up to `count` hosts of the coordinators of `service`, in order of preference; "" is this node.
+  // All nodes that hear the same peers compute the same order. Recently started nodes rank last,
+  // since not all nodes know them yet; nodes with a larger CPU quota rank first.
   std::vector<std::string> RankCoordinators(const std::string& service, size_t count,
                                             TimePoint now) const;
 
-  // The same of the nodes that lend repeats.
+  // As RankCoordinators(), among the nodes that lend repeats.
   std::vector<std::string> RankLenders(const std::string& purpose, size_t count,
                                        TimePoint now) const;
 
-  // The same of the nodes that keep begun streams.
+  // As RankCoordinators(), among the nodes that keep begun streams.
   std::vector<std::string> RankStreamKeepers(const std::string& purpose, size_t count,
                                              TimePoint now) const;
 
-  // The fleet as this node sees it, for what only one node may do for `service`.
+  // This node's view of the fleet, for tasks that only one node may perform for `service`.
   FleetView FleetOf(const std::string& service, TimePoint now) const;
 
-  // The zone of the node at `host`; empty when it wasn't heard.
+  // Zone of the node at `host`; empty when the node has not been heard.
   std::string ZoneOf(const std::string& host) const;
 
   std::vector<LivePeer> LivePeers() const;
 
   size_t LiveCount() const;
 
-  // Nodes among which to divide what all of them together may use, this one included: every host
-  // that it knows of and whose node has not told that it stops, heard or not. Parts of a fleet that
-  // lost each other count each other, so that their shares add up to one at most. A node that was
-  // started within such a part counts those that it was told of.
+  // Number of nodes, including this one, among which fleet-wide limits are divided: every known
+  // host, heard or not, except nodes that announced their stop and are gone. Partitions of a fleet
+  // count each other's nodes, so that their shares add up to at most one. A node started within a
+  // partition counts the nodes that it was told of.
   int64_t NodesNotEnded() const;
 
   const std::map<std::string, PeerRecord>& Peers() const { return peers_; }
@@ -154,20 +155,21 @@
   };
 
   std::vector<std::string> Rank(const std::string& purpose, size_t count, TimePoint now) const;
-  // Of the nodes of which `flag` is true.
+  // Ranks the nodes whose `flag` is true.
   std::vector<std::string> RankWhere(bool NodeState::*flag, const std::string& purpose,
                                      size_t count, TimePoint now) const;
 
   NodeState self_;
-  const std::string self_host_;  // empty, as rankings name this node
+  const std::string self_host_;  // always empty: denotes this node in rankings
   TimePoint started_;
-  std::map<std::string, PeerRecord> peers_;          // by host
-  std::map<std::string, TimePoint> forgotten_;       // hosts that may still be up, since when
-  uint64_t epoch_ = 1;                               // grows with each change of who is live
-  mutable std::map<std::string, Ranking> rankings_;  // by purpose
+  std::map<std::string, PeerRecord> peers_;  // by host
+  std::map<std::string, TimePoint>
+      forgotten_;       // when each removed host was removed; it may still be up
+  uint64_t epoch_ = 1;  // increases with each change of the live set
+  mutable std::map<std::string, Ranking> rankings_;  // cache, by purpose
 };
 
-// This node's place in a ranking; nothing when it isn't in it.
+// Zero-based position of this node in a ranking; nullopt when it is absent.
 std::optional<size_t> OwnRank(const std::vector<std::string>& ranked);
 
 }  // namespace cartsail
