--- a/libs/relay/src/fleet/datagram.cc
+++ b/libs/relay/src/fleet/datagram.cc
@@ -86,7 +86,7 @@
   message.setPlaced(answer.grant.has_value());
   message.setHeardRateWords(answer.heard_rate_words);
   message.setMeteredOnly(answer.metered_wait.has_value());
-  // Rounded up: a wait of 0 would be answered without a time to come back.
+  // Rounded up: a wait of 0 would be answered without a retry time.
   message.setMeteredWaitMs(
       BoundedTo<uint32_t>(std::ceil(ToMillis(answer.metered_wait.value_or(Duration(0))))));
   if (!answer.grant.has_value()) return;
@@ -228,7 +228,7 @@
   return notice;
 }
 
-// By this node's clocks; the time on the way counts as none.
+// Converts ages to this node's clocks; transit time is neglected.
 std::vector<BackendRateNotice> DecodeRateWords(capnp::List<wire::RateWord>::Reader entries,
                                                TimePoint now) {
   const milliseconds wall = WallNow();
@@ -343,7 +343,7 @@
     case wire::Datagram::STREAM_ANSWER:
       return DecodeStreamAnswer(root.getStreamAnswer(), now);
   }
-  return std::nullopt;  // of a later version
+  return std::nullopt;  // sent by a later version
 }
 
 }  // namespace
--- a/libs/relay/src/fleet/datagram.h
+++ b/libs/relay/src/fleet/datagram.h
@@ -1,4 +1,4 @@
-// The datagrams that nodes send each other, and their encoding (Cap'n Proto, packed). Pure.
+// Datagrams between nodes and their encoding (packed Cap'n Proto). Pure.
 #pragma once
 
 #include <optional>
@@ -23,10 +23,10 @@
                  GossipMessage, StoreUpdate, UsageShares, UsageReceipt, StrikeReport,
                  QuarantineNotice, RepeatQuestion, RepeatAnswer, StreamQuestion, StreamAnswer>;
 
-// Times are sent as what is left or past at `now`.
+// Time points are encoded as remaining or elapsed time relative to `now`.
 std::string EncodeDatagram(const Datagram& datagram, TimePoint now = {});
 
-// Nothing when the bytes are no datagram of a node.
+// Returns nullopt when `bytes` is not a valid datagram.
 std::optional<Datagram> DecodeDatagram(std::string_view bytes, TimePoint now = {});
 
 }  // namespace cartsail
--- a/libs/relay/src/fleet/gossip_codec.cc
+++ b/libs/relay/src/fleet/gossip_codec.cc
@@ -7,7 +7,7 @@
 namespace cartsail {
 namespace {
 
-constexpr double kCapacityUnit = 0.001;  // of a core
+constexpr double kCapacityUnit = 0.001;  // in cores
 
 void EncodeMember(const MemberEntry& entry, wire::Member::Builder member) {
   member.setHost(HostNumber(entry.host));
--- a/libs/relay/src/fleet/gossip_codec.h
+++ b/libs/relay/src/fleet/gossip_codec.h
@@ -1,4 +1,4 @@
-// Encoding of messages about live nodes (Cap'n Proto). Pure.
+// Encoding of gossip messages (Cap'n Proto). Pure.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 void EncodeGossip(const GossipMessage& gossip, wire::Gossip::Builder root);
 
-// Nothing for a kind of message that this version does not know.
+// Returns nullopt for a message kind unknown to this version.
 std::optional<GossipMessage> DecodeGossip(wire::Gossip::Reader root);
 
 }  // namespace cartsail
--- a/libs/relay/src/fleet/gossip_message.h
+++ b/libs/relay/src/fleet/gossip_message.h
@@ -1,5 +1,4 @@
-// What nodes tell each other about which nodes are live, and how far they know the store. Plain
-// structs.
+// Gossip messages about membership and the senders' store revisions. Plain structs.
 #pragma once
 
 #include <chrono>
@@ -13,40 +12,41 @@
 
 namespace cartsail {
 
-// A member as the sender of a message believes it to be.
+// State of a member as known to the sender of a message.
 struct MemberEntry {
   std::string host;
   NodeState state;
   uint32_t incarnation = 0;
-  PeerStatus status = PeerStatus::kAlive;  // kUnheard is never told
+  PeerStatus status = PeerStatus::kAlive;  // kUnheard is never sent
 };
 
-// How far a node knows the store.
+// Progress of a node's knowledge of the store.
 struct StoreView {
-  int64_t catalog_revision = 0;           // all changes up to it are known; 0: none
-  int64_t document_version = 0;           // in force; 0: none
-  std::optional<Duration> confirmed_age;  // since the store last confirmed the document
+  int64_t catalog_revision = 0;  // all changes up to this one are known; 0: none
+  int64_t document_version = 0;  // version in force; 0: none
+  std::optional<Duration>
+      confirmed_age;  // time since the store confirmed the document; empty: never
 };
 
 enum class GossipKind : uint8_t {
-  kPing,         // is answered with an acknowledgement
-  kAck,          // of a ping, or of the ping that a request led to
+  kPing,         // answered by kAck
+  kAck,          // acknowledges a ping, directly or on behalf of a kPingRequest's subject
   kPingRequest,  // asks the receiver to ping `subject`
-  kSync,         // names the live members that the sender knows
-  kSyncReply,    // live members that the sender of a sync did not name
+  kSync,         // carries hashes of the live members known to the sender
+  kSyncReply,    // live members missing from a kSync
 };
 
-inline constexpr uint8_t kGossipKinds = 5;  // the number of them
+inline constexpr uint8_t kGossipKinds = 5;  // number of enumerators
 
 struct GossipMessage {
   GossipKind kind = GossipKind::kPing;
-  uint32_t sequence = 0;  // an acknowledgement carries that of its ping
-  std::string subject;    // of a ping request: a host
+  uint32_t sequence = 0;  // a reply carries that of its request
+  std::string subject;    // kPingRequest: host to ping
   MemberEntry sender;
   StoreView view;
-  std::chrono::milliseconds wall{};  // the sender's time of day, since 1970; 0: not told
+  std::chrono::milliseconds wall{};  // sender's wall clock since the Unix epoch; 0: unknown
   std::vector<MemberEntry> members;
-  std::vector<uint16_t> known;  // of a sync: hashes of hosts, salted with `sequence`
+  std::vector<uint16_t> known;  // kSync: host hashes salted with `sequence`
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/fleet/node_digest.h
+++ b/libs/relay/src/fleet/node_digest.h
@@ -1,4 +1,4 @@
-// What each node tells the coordinators of its requests regularly. A plain struct.
+// Periodic report of a node to the coordinators of its requests. A plain struct.
 #pragma once
 
 #include <string>
@@ -12,10 +12,10 @@
 
 struct NodeDigest {
   std::string node;
-  Duration interval{};  // to the next digest
-  // Loads are without those that the coordinator placed itself.
+  Duration interval{};  // time until the next digest
+  // Excludes loads that the receiving coordinator placed itself.
   DispatchDigest dispatch;
-  // This node's questions to that coordinator whose requests have not ended.
+  // This node's placement questions to the receiving coordinator whose requests have not ended.
   std::vector<PlacementQueryId> live_questions;
 };
 
--- a/libs/relay/src/fleet/peer_exchange.cc
+++ b/libs/relay/src/fleet/peer_exchange.cc
@@ -23,18 +23,18 @@
 namespace asio = boost::asio;
 using asio::ip::udp;
 
-constexpr size_t kMostDatagramBytes = 1 << 16;
-constexpr size_t kDatagramOverhead = 28;  // IP and UDP headers
-constexpr size_t kCoordinatorsTold = 2;   // of a service
-constexpr int kLifetimeIntervals = 4;     // that a peer's load holds
-constexpr Duration kLeastLifetime = seconds(1);
-constexpr Duration kLongestInterval = seconds(2);
-// Between the digests that one coordinator gets from all nodes: 200 a second, whatever the size of
-// the fleet. Chosen, not measured.
+constexpr size_t kMaxDatagramBytes = 1 << 16;
+constexpr size_t kDatagramOverhead = 28;   // IP and UDP headers
+constexpr size_t kDigestCoordinators = 2;  // coordinators per service that get digests
+constexpr int kLifetimeIntervals = 4;      // validity of a peer's digest, in digest intervals
+constexpr Duration kMinLifetime = seconds(1);
+constexpr Duration kMaxDigestInterval = seconds(2);
+// Mean spacing of the digests that one coordinator receives from all nodes: 200 per second,
+// independent of the fleet's size.
 constexpr Duration kDigestSpacing = milliseconds(5);
-// A notice with its patch stays within one packet of 1,500 bytes. Patches of usual changes have
-// about 0.1 KB; of a larger one only the version is told, and peers fetch it.
-constexpr size_t kMostPatchBytesTold = 1100;
+// Keeps a notice with its patch within one 1,500-byte packet. Patches of typical changes have about
+// 0.1 KB; for a larger patch only the version is announced, and peers fetch the document.
+constexpr size_t kMaxNoticePatchBytes = 1100;
 constexpr Duration kMemberLogInterval = seconds(1);
 
 Counter& BytesCounterOf(const Datagram& datagram) {
@@ -56,7 +56,7 @@
   BytesCounterOf(datagram).Add(bytes);
 }
 
-// Rises from one process of a host to the next, as far as the clock does.
+// Seconds since the epoch: increases across restarts of a host as long as its clock does.
 uint32_t FirstIncarnation() {
   const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<uint32_t>(
@@ -78,7 +78,10 @@
 absl::Status PeerExchange::Start() {
   boost::system::error_code error;
   const auto ip = asio::ip::make_address(context_.options.peer.host, error);
-  if (error) return MakeError(ErrorKind::kInvalidArgument, "peer: not an IP number");
+  if (error)
+    return MakeError(
+        ErrorKind::kInvalidArgument,
+        fmt::format("peer address {} is not an IP address", context_.options.peer.host));
   const udp::endpoint endpoint(ip, context_.options.peer.port);
   socket_.open(endpoint.protocol(), error);
   if (!error) socket_.bind(endpoint, error);
@@ -111,7 +114,7 @@
   context_.streams.SetTransport(
       [this](const std::string& host, const Datagram& datagram) { (void)Send(host, datagram); });
   catalog_.SetOnDocument([this] {
-    if (announcing_) return;  // goes on with the newest document
+    if (announcing_) return;  // the running announcement picks up the newest document
     announcing_ = true;
     asio::co_spawn(context_.io, AnnounceDocument(), asio::detached);
   });
@@ -135,7 +138,7 @@
 }
 
 asio::awaitable<void> PeerExchange::Receive() {
-  std::string buffer(kMostDatagramBytes, '\0');
+  std::string buffer(kMaxDatagramBytes, '\0');
   while (true) {
     udp::endpoint sender;
     boost::system::error_code error;
@@ -235,7 +238,8 @@
   }
 }
 
-// One line for all that changed in a while: when a fleet starts, each node hears of all others.
+// Logs membership changes at most once per kMemberLogInterval: when a fleet starts, each node
+// learns of all others.
 void PeerExchange::LogMemberChanges(TimePoint now) {
   if (now - members_logged_ < kMemberLogInterval) return;
   const PeerGossip::Changes changes = gossip_.TakeChanges();
@@ -281,7 +285,8 @@
   Spread(update, Branches(update.targets));
   if (catalog_.ApplyUpdate(update, host)) return;
   const bool has_newer_document = update.document_version > context_.routing.Version();
-  // The first one of a zone hands on what it fetches from the reader.
+  // The first node of a zone gets updates from the store reader in another zone and passes on what
+  // it fetches, so it does not wait.
   if (has_newer_document || catalog_.Revision() == 0 || IsFar(host)) {
     (void)MaybeFetch(host, update.document_version, Now());
     return;
@@ -296,12 +301,12 @@
   notice.version = context_.routing.Version();
   notice.age = now - context_.routing.KnownSince();
   const DocumentPatch& patch = catalog_.LatestPatch();
-  if (patch.bytes.size() <= kMostPatchBytesTold) notice.patch = patch;
+  if (patch.bytes.size() <= kMaxNoticePatchBytes) notice.patch = patch;
   return notice;
 }
 
-// Messages about live nodes would take a second or two to tell all of a new version, more than half
-// of the time in which a change has to be in force everywhere.
+// Announces a new version by notices, since gossip alone would take 1 to 2 s to reach all nodes:
+// more than half of the time within which a change must be in force everywhere.
 asio::awaitable<void> PeerExchange::AnnounceDocument() {
   Timer timer(context_.io);
   while (true) {
@@ -339,8 +344,7 @@
   if (digest.node == context_.options.node_id) return;
   const TimePoint now = Now();
   context_.placement.OnLiveQuestions(host, digest.live_questions, now);
-  const Duration lifetime =
-      std::max<Duration>(kLeastLifetime, kLifetimeIntervals * digest.interval);
+  const Duration lifetime = std::max<Duration>(kMinLifetime, kLifetimeIntervals * digest.interval);
   context_.dispatcher.ApplyDigest(digest.node, digest.dispatch, lifetime, now);
 }
 
@@ -372,7 +376,7 @@
   return digest;
 }
 
-// What a coordinator placed it follows itself.
+// Leaves out the load that `coordinator` placed, since it tracks that itself.
 NodeDigest PeerExchange::DigestFor(const std::string& coordinator, NodeDigest digest,
                                    TimePoint now) const {
   digest.dispatch.loads = context_.dispatcher.LoadsFor(coordinator, now);
@@ -383,12 +387,13 @@
 void PeerExchange::SendDigestTo(const std::string& host) {
   const TimePoint now = Now();
   NodeDigest digest = MakeDigest(now);
-  // The other coordinators are still to be told of these prefixes.
+  // The other coordinators have not received these prefixes yet.
   context_.dispatcher.RequeuePrefixes(digest.dispatch.prefixes);
   (void)Send(host, DigestFor(host, std::move(digest), now));
 }
 
-// Returns the bytes that went out.
+// Returns the number of bytes sent, including IP and UDP headers; 0 when `host` is not an IP
+// address. Send errors are ignored.
 size_t PeerExchange::Send(const std::string& host, const Datagram& datagram) {
   boost::system::error_code error;
   const auto ip = asio::ip::make_address(host, error);
@@ -401,13 +406,13 @@
   return sent;
 }
 
-// The nodes that place requests or would do so next: only they need to know loads and prefixes.
+// Hosts of the current and next coordinators: only they need loads and prefixes.
 std::set<std::string> PeerExchange::Coordinators(TimePoint now) const {
   std::set<std::string> hosts;
   for (const std::string& host : context_.dispatcher.Coordinators()) hosts.insert(host);
   if (context_.routing.Table() == nullptr) return hosts;
   for (const ServiceRule& service : context_.routing.Table()->Document().services) {
-    const auto ranked = peers_.RankCoordinators(service.name, kCoordinatorsTold, now);
+    const auto ranked = peers_.RankCoordinators(service.name, kDigestCoordinators, now);
     hosts.insert(ranked.begin(), ranked.end());
   }
   hosts.erase("");  // this node
@@ -421,12 +426,12 @@
   for (const std::string& host : Coordinators(now)) {
     sent_bytes += Send(host, DigestFor(host, digest, now));
   }
-  // The next digests wait until these fit the bytes that may be sent, and the coordinators'
-  // patience with those of all nodes.
-  const double paid_s = static_cast<double>(sent_bytes) / context_.options.digest_bytes_per_s;
+  // Delays the next digests so that these stay within the byte rate limit, and so that coordinators
+  // receive the digests of all nodes at the intended spacing.
+  const double budget_s = static_cast<double>(sent_bytes) / context_.options.digest_bytes_per_s;
   const Duration spaced = static_cast<int64_t>(peers_.LiveCount()) * kDigestSpacing;
-  digest_interval_ = std::clamp<Duration>(std::max<Duration>(FromSeconds(paid_s), spaced),
-                                          context_.options.digest_interval, kLongestInterval);
+  digest_interval_ = std::clamp<Duration>(std::max<Duration>(FromSeconds(budget_s), spaced),
+                                          context_.options.digest_interval, kMaxDigestInterval);
 }
 
 }  // namespace cartsail
--- a/libs/relay/src/fleet/peer_exchange.h
+++ b/libs/relay/src/fleet/peer_exchange.h
@@ -1,7 +1,7 @@
-// Carries datagrams between nodes: who is live, this node's load for the coordinators of its
-// requests, questions and answers of placements, new documents, and what the store told its
-// readers. A node that hears of a newer catalog than it was told of fetches it from who said so.
-// Nothing here needs agreement: a lost datagram costs precision.
+// Exchange of datagrams between nodes: membership, load digests for the coordinators of this node's
+// requests, placement questions and answers, new documents, and store updates from the nodes that
+// read the store. A node that learns of a newer catalog than its own fetches it from the peer that
+// announced it. No consensus is required: a lost datagram only costs precision.
 #pragma once
 
 #include <absl/status/status.h>
@@ -28,10 +28,11 @@
  public:
   PeerExchange(RelayContext& context, CatalogSync& catalog);
 
-  // kInvalidArgument when the address cannot be bound.
+  // Binds the peer address and starts the exchange. Returns kInvalidArgument when the address is
+  // not an IP address or cannot be bound.
   absl::Status Start();
 
-  // Hosts that may be nodes, beside those heard of.
+  // Adds hosts that may be nodes, in addition to those learnt from peers.
   void AddSeeds(const std::vector<std::string>& hosts);
 
  private:
@@ -59,7 +60,8 @@
   void OnQuarantine(const QuarantineNotice& notice, TimePoint now);
   void OnNotice(const std::string& host, const DocumentNotice& notice);
   void OnDigest(const std::string& host, const NodeDigest& digest);
-  // False when a fetch under way, or one that has just ended, does not allow it yet.
+  // Starts a catalog fetch. Returns false when a running or recently ended fetch prevents it.
+  // `version` is the document version at `host`.
   bool MaybeFetch(const std::string& host, int64_t version, TimePoint now);
   bool IsFar(const std::string& host) const;
   bool HasMissedUpdate(const std::string& host, int64_t revision, TimePoint now);
@@ -76,13 +78,13 @@
   boost::asio::ip::udp::socket socket_;
   std::mt19937_64 random_;
   PeerGossip gossip_;
-  Duration digest_interval_;  // to the next digests
+  Duration digest_interval_;  // time until the next digests
   DocumentAnnouncer announcer_;
   bool announcing_ = false;
   FetchSchedule fetches_;
-  bool asked_near_ = false;    // for the first catalog
-  bool watching_gap_ = false;  // a fetch is due unless what was missed comes
-  // A revision of a peer that this node had not reached at the time.
+  bool asked_near_ = false;    // a first catalog fetch has been started
+  bool watching_gap_ = false;  // a fetch is scheduled unless the missing update arrives
+  // Catalog revision of a peer that was ahead of this node, and when it was first seen; 0: none.
   int64_t revision_elsewhere_ = 0;
   TimePoint revision_elsewhere_since_{};
   TimePoint members_logged_{};
--- a/libs/relay/src/fleet/peer_fetching.cc
+++ b/libs/relay/src/fleet/peer_fetching.cc
@@ -1,4 +1,4 @@
-// How a node fetches from its peers what it has missed of the store.
+// Fetching of missed store changes from peers.
 #include <fmt/format.h>
 
 #include <boost/asio/co_spawn.hpp>
@@ -23,34 +23,39 @@
 namespace asio = boost::asio;
 
 constexpr Duration kFetchTimeout = milliseconds(800);
-// What the store told a reader reaches all nodes in some milliseconds; a node that still knows less
-// than a peer after this time has missed it and fetches the changes.
-constexpr Duration kUpdatePatience = milliseconds(150);
-// Nodes of other zones are asked for changes only by one that finds nobody of its own zone who has
-// them for so long: bytes between zones are dear.
-constexpr Duration kFarPatience = milliseconds(600);
-// An update that overtook the one before it: that one comes within some milliseconds, or is lost.
-// Not the same for all, so that those who pass updates on have fetched it before they are asked.
-constexpr Duration kGapPatience = milliseconds(60);
+// Store updates reach all nodes within a few milliseconds. A node that is still behind a peer after
+// this time has missed an update and fetches the changes.
+constexpr Duration kUpdateGracePeriod = milliseconds(150);
+// Time for which a node waits for the changes within its own zone before it asks a node of another
+// zone, since traffic between zones is expensive.
+constexpr Duration kCrossZoneGracePeriod = milliseconds(600);
+// Wait after an update that arrived before its predecessor, which either follows within a few
+// milliseconds or is lost. The random spread lets nodes that forward updates fetch the missing one
+// before others ask them.
+constexpr Duration kGapGracePeriod = milliseconds(60);
 constexpr int64_t kGapSpreadMs = 60;
-// A fetch that was not allowed yet is tried again: the one that it waits for may hang. Tried once
-// only, a node that had asked a silent peer still lacked a change after 0.3 s in 4 of 12 runs.
+// Retry interval of a fetch that another fetch prevented, since that one may hang. With a single
+// try, a node that had asked an unresponsive peer still lacked a change after 0.3 s in 4 of 12
+// runs.
 constexpr Duration kFetchRetry = milliseconds(50);
-constexpr int kMostFetchRetries = 40;
-// A node that has been up for so long has the catalog, unless all were lost.
+constexpr int kMaxFetchRetries = 40;
+// Uptime from which a node is assumed to have the catalog; it lacks it only if every node does.
 constexpr Duration kHasCatalogAfter = seconds(3);
 
 absl::StatusOr<CatalogMessage> CatalogIn(const absl::StatusOr<HttpResponse>& response,
                                          TimePoint now) {
   if (!response.ok()) return response.status();
   if (response->status != 200) {
-    return MakeError(ErrorKind::kNotReady, fmt::format("status {}", response->status));
+    return MakeError(ErrorKind::kNotReady,
+                     fmt::format("catalog request returned HTTP status {}", response->status));
   }
   if (response->body_end != BodyEnd::kWhole) {
-    return MakeError(ErrorKind::kConnectionLost, "the catalog may lack its end");
+    return MakeError(ErrorKind::kConnectionLost, "catalog response may be truncated");
   }
   std::optional<CatalogMessage> catalog = DecodeCatalog(response->body, now);
-  if (!catalog.has_value()) return MakeError(ErrorKind::kInvalidArgument, "no catalog");
+  if (!catalog.has_value())
+    return MakeError(ErrorKind::kInvalidArgument,
+                     fmt::format("catalog of {} bytes cannot be decoded", response->body.size()));
   return std::move(*catalog);
 }
 
@@ -65,11 +70,11 @@
 }  // namespace
 
 Duration PeerExchange::UpdatePatience(const std::string& host) const {
-  return IsFar(host) ? kFarPatience : kUpdatePatience;
+  return IsFar(host) ? kCrossZoneGracePeriod : kUpdateGracePeriod;
 }
 
-// True when this node has had time to hear of `revision`, or to get it within its zone, and has
-// not.
+// Returns true when this node is behind `revision` although there was time to receive it, or to get
+// it within its own zone, or when it has no catalog yet.
 bool PeerExchange::HasMissedUpdate(const std::string& host, int64_t revision, TimePoint now) {
   const int64_t known = catalog_.Revision();
   if (revision <= known) return false;
@@ -77,44 +82,43 @@
   if (revision_elsewhere_ <= known) {
     revision_elsewhere_ = revision;
     revision_elsewhere_since_ = now;
-    // The host may not be heard again for seconds: when each node waited for another word of a
-    // newer revision, some of 24 nodes that lost every message of a change did not know it after
-    // 3.0 s in 6 of 13 runs; with this timer in none of 15.
+    // A timer is needed because the next message from `host` may be seconds away. When nodes waited
+    // for another message with a newer revision, some of 24 nodes that lost every message of a
+    // change still lacked it after 3.0 s in 6 of 13 runs; with this timer in none of 15.
     asio::co_spawn(context_.io, FetchUnlessClosed(host, revision, UpdatePatience(host)),
                    asio::detached);
   }
   return now - revision_elsewhere_since_ >= UpdatePatience(host);
 }
 
-// `revision`: told by `host`, when changes before it were not known here.
+// Fetches from `host` unless the changes before `revision`, an update that `host` sent, arrive.
 asio::awaitable<void> PeerExchange::WatchGap(std::string host, int64_t revision) {
   const int64_t spread = std::uniform_int_distribution<int64_t>(0, kGapSpreadMs)(random_);
-  const Duration patience = kGapPatience + milliseconds(spread);
+  const Duration patience = kGapGracePeriod + milliseconds(spread);
   co_await FetchUnlessClosed(std::move(host), revision, patience);
   watching_gap_ = false;
 }
 
-// Fetches from `host` what this node still lacks of `revision` when `patience` is over.
+// Fetches from `host` if this node has not reached `revision` after `patience`.
 asio::awaitable<void> PeerExchange::FetchUnlessClosed(std::string host, int64_t revision,
                                                       Duration patience) {
   Timer timer(context_.io, patience);
   boost::system::error_code ignored;
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-  for (int i = 0; i < kMostFetchRetries && catalog_.Revision() < revision; ++i) {
+  for (int i = 0; i < kMaxFetchRetries && catalog_.Revision() < revision; ++i) {
     if (MaybeFetch(host, context_.routing.Version(), Now())) break;
     timer.expires_after(kFetchRetry);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
 
-// `version`: of the document at `host`.
 bool PeerExchange::MaybeFetch(const std::string& host, int64_t version, TimePoint now) {
   const bool has_newer_document = version > context_.routing.Version();
   if (has_newer_document) catalog_.NoteVersionElsewhere(version, now);
   const bool is_first = catalog_.Revision() == 0;
   std::string source = host;
-  // Whoever starts hears the seeds first: were all to ask these, a restart of the fleet would keep
-  // them busy. Should the other one not have it either, who was heard is asked next.
+  // A starting node hears the seeds first. If all nodes fetched from the seeds, a restart of the
+  // fleet would overload them. If the chosen node lacks the catalog, the next fetch goes to `host`.
   if (is_first && !asked_near_) source = NearSource(now).value_or(host);
   if (!fetches_.MayBegin(source, has_newer_document || is_first, now)) return false;
   asked_near_ = true;
@@ -122,7 +126,7 @@
   return true;
 }
 
-// A node of this zone that is likely to have a catalog, another one each time.
+// Returns a random node of this zone that is likely to have a catalog; empty when there is none.
 std::optional<std::string> PeerExchange::NearSource(TimePoint now) {
   std::vector<std::string> hosts;
   for (const auto& [host, peer] : peers_.Peers()) {
--- a/libs/relay/src/fleet/peer_gossip.cc
+++ b/libs/relay/src/fleet/peer_gossip.cc
@@ -173,7 +173,7 @@
 }
 
 // Returns the next probe target: each live node of a zone in turn, reshuffled after each round.
-// Empty when no other node is live.
+// Falls back to the other zones, or to this one, when no target is left; empty when there is none.
 std::optional<std::string> PeerGossip::NextTarget() {
   const bool is_far = ++probes_ % kCrossZoneProbePeriod == 0;
   const std::string zone = peers_.Self(TimePoint()).zone;
--- a/libs/relay/src/fleet/peer_table.h
+++ b/libs/relay/src/fleet/peer_table.h
@@ -20,7 +20,7 @@
   std::string node;  // node name
   std::string zone;
   bool stopping = false;
-  double capacity = 0;  // CPU quota in cores
+  double capacity = 0;  // share of one core that the node may use
   Duration uptime{};
   bool bridges = false;  // relays connections to back ends for other nodes
   bool lends = false;    // lends repeats to other nodes
--- a/libs/relay/src/fleet/traffic_log.cc
+++ b/libs/relay/src/fleet/traffic_log.cc
@@ -38,9 +38,9 @@
 std::optional<TrafficSent> TrafficLog::Take(const Counters& counters, TimePoint now) {
   if (now - since_ < kInterval) return std::nullopt;
   const TrafficSent totals = TotalsOf(counters);
-  const TrafficSent sent = totals - told_;
+  const TrafficSent sent = totals - last_;
   since_ = now;
-  told_ = totals;
+  last_ = totals;
   if (sent == TrafficSent()) return std::nullopt;
   return sent;
 }
--- a/libs/relay/src/fleet/traffic_log.h
+++ b/libs/relay/src/fleet/traffic_log.h
@@ -1,5 +1,5 @@
-// What a node sent to other nodes, by kind of message, for a log line a few times a minute: a fleet
-// whose nodes are busier than their callers explain is read off these lines. Pure.
+// Periodic log of the traffic sent to other nodes, by kind of message. Helps to diagnose fleets
+// whose nodes are busier than client traffic explains. Pure.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,16 @@
 
 namespace cartsail {
 
-// Bytes, but for the fetches.
+// Bytes sent, except `fetches`, which counts catalog fetches.
 struct TrafficSent {
   int64_t gossip = 0;
   int64_t digest = 0;
   int64_t placement = 0;
   int64_t document = 0;
   int64_t update = 0;
-  int64_t far = 0;      // of all these: to other zones
-  int64_t catalog = 0;  // handed to other nodes
-  int64_t fetches = 0;  // catalogs asked for
+  int64_t far = 0;      // part of the above sent to other zones
+  int64_t catalog = 0;  // catalogs served to other nodes
+  int64_t fetches = 0;  // catalogs requested
 
   bool operator==(const TrafficSent& other) const = default;
 };
@@ -28,20 +28,22 @@
 
 class TrafficLog {
  public:
-  // Between two lines: with some 150 bytes in that time they do not count beside those of requests.
+  // Interval between log lines. At about 150 bytes per interval they are negligible next to request
+  // logs.
   static constexpr Duration kInterval = seconds(10);
 
   explicit TrafficLog(TimePoint now) : since_(now) {}
 
-  // What was sent since the last line; nothing when that is too recent or nothing was sent.
+  // Returns the traffic since the last line; empty when the interval has not passed or nothing was
+  // sent.
   std::optional<TrafficSent> Take(const Counters& counters, TimePoint now);
 
  private:
   TimePoint since_;
-  TrafficSent told_;
+  TrafficSent last_;
 };
 
-// One line, at info.
+// Writes one log line at info level.
 void LogTraffic(const TrafficSent& sent);
 
 }  // namespace cartsail
