--- a/libs/relay/src/fleet/datagram.cc
+++ b/libs/relay/src/fleet/datagram.cc
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr double kPauseUnitMs = 0.01;
-constexpr uint32_t kListAgeNotTold = 0xffffffff;
+constexpr uint32_t kListAgeUnknown = 0xffffffff;
 
 void Encode(const NodeDigest& digest, wire::Datagram::Builder root) {
   EncodeDigest(digest, root.initDigest());
@@ -32,15 +32,15 @@
   return keys;
 }
 
-void EncodeRateWords(const std::vector<BackendRateNotice>& words, TimePoint now,
-                     capnp::List<wire::RateWord>::Builder entries) {
+void EncodeRateNotices(const std::vector<BackendRateNotice>& notices, TimePoint now,
+                       capnp::List<wire::RateWord>::Builder entries) {
   for (unsigned i = 0; i < entries.size(); ++i) {
-    const RateNotice& word = words[i].notice;
-    entries[i].setBackend(words[i].backend);
-    entries[i].setNamed(word.per_s.has_value());
-    entries[i].setPerSecond(word.per_s.value_or(0));
-    entries[i].setReadAgeMs(BoundedTo<uint32_t>(ToMillis(now - word.read.at)));
-    entries[i].setAskedAgeMs(BoundedTo<uint32_t>(ToMillis(now - word.asked)));
+    const RateNotice& notice = notices[i].notice;
+    entries[i].setBackend(notices[i].backend);
+    entries[i].setNamed(notice.per_s.has_value());
+    entries[i].setPerSecond(notice.per_s.value_or(0));
+    entries[i].setReadAgeMs(BoundedTo<uint32_t>(ToMillis(now - notice.read.at)));
+    entries[i].setAskedAgeMs(BoundedTo<uint32_t>(ToMillis(now - notice.asked)));
   }
 }
 
@@ -72,12 +72,12 @@
   FillKeys(question.connected,
            message.initConnected(static_cast<unsigned>(question.connected.size())));
   if (!question.rate_words.empty()) {
-    EncodeRateWords(question.rate_words, now,
-                    message.initRateWords(static_cast<unsigned>(question.rate_words.size())));
+    EncodeRateNotices(question.rate_words, now,
+                      message.initRateWords(static_cast<unsigned>(question.rate_words.size())));
   }
   if (question.brittle_words.empty()) return;
-  EncodeRateWords(question.brittle_words, now,
-                  message.initBrittleWords(static_cast<unsigned>(question.brittle_words.size())));
+  EncodeRateNotices(question.brittle_words, now,
+                    message.initBrittleWords(static_cast<unsigned>(question.brittle_words.size())));
 }
 
 void Encode(const PlacementAnswer& answer, wire::Datagram::Builder root) {
@@ -212,7 +212,7 @@
   update.changes = CatalogFrom(message.getChanges(), now);
   update.document_version = message.getDocumentVersion();
   update.confirmed_age = milliseconds(message.getConfirmedAgeMs());
-  if (message.getListAgeMs() != kListAgeNotTold) {
+  if (message.getListAgeMs() != kListAgeUnknown) {
     update.list_age = milliseconds(message.getListAgeMs());
   }
   for (const uint32_t host : message.getTargets()) update.targets.push_back(HostText(host));
@@ -229,19 +229,19 @@
 }
 
 // Converts ages to this node's clocks; transit time is neglected.
-std::vector<BackendRateNotice> DecodeRateWords(capnp::List<wire::RateWord>::Reader entries,
-                                               TimePoint now) {
+std::vector<BackendRateNotice> DecodeRateNotices(capnp::List<wire::RateWord>::Reader entries,
+                                                 TimePoint now) {
   const milliseconds wall = WallNow();
-  std::vector<BackendRateNotice> words;
+  std::vector<BackendRateNotice> notices;
   for (const auto entry : entries) {
     const milliseconds read_age(entry.getReadAgeMs());
-    BackendRateNotice& word = words.emplace_back();
-    word.backend = entry.getBackend();
-    if (entry.getNamed()) word.notice.per_s = std::max(0.0, entry.getPerSecond());
-    word.notice.read = {now - read_age, wall - read_age};
-    word.notice.asked = now - milliseconds(entry.getAskedAgeMs());
+    BackendRateNotice& rate = notices.emplace_back();
+    rate.backend = entry.getBackend();
+    if (entry.getNamed()) rate.notice.per_s = std::max(0.0, entry.getPerSecond());
+    rate.notice.read = {now - read_age, wall - read_age};
+    rate.notice.asked = now - milliseconds(entry.getAskedAgeMs());
   }
-  return words;
+  return notices;
 }
 
 PlacementQuestion DecodeQuestion(wire::PlacementQuestion::Reader message, TimePoint now) {
@@ -269,8 +269,8 @@
   }
   question.tried = KeysOf(message.getTried());
   question.connected = KeysOf(message.getConnected());
-  question.rate_words = DecodeRateWords(message.getRateWords(), now);
-  question.brittle_words = DecodeRateWords(message.getBrittleWords(), now);
+  question.rate_words = DecodeRateNotices(message.getRateWords(), now);
+  question.brittle_words = DecodeRateNotices(message.getBrittleWords(), now);
   return question;
 }
 
--- a/libs/relay/src/fleet/peer_exchange.cc
+++ b/libs/relay/src/fleet/peer_exchange.cc
@@ -78,10 +78,11 @@
 absl::Status PeerExchange::Start() {
   boost::system::error_code error;
   const auto ip = asio::ip::make_address(context_.options.peer.host, error);
-  if (error)
+  if (error) {
     return MakeError(
         ErrorKind::kInvalidArgument,
         fmt::format("peer address {} is not an IP address", context_.options.peer.host));
+  }
   const udp::endpoint endpoint(ip, context_.options.peer.port);
   socket_.open(endpoint.protocol(), error);
   if (!error) socket_.bind(endpoint, error);
@@ -126,7 +127,7 @@
   asio::co_spawn(context_.io, GossipPeriodically(), asio::detached);
   asio::co_spawn(context_.io, SendDigestsPeriodically(), asio::detached);
   if (context_.options.duties.reports_usage) {
-    asio::co_spawn(context_.io, TellUsagePeriodically(), asio::detached);
+    asio::co_spawn(context_.io, TickUsagePeriodically(), asio::detached);
   }
   return absl::OkStatus();
 }
@@ -260,7 +261,7 @@
   OnView(host, message.view, now);
 }
 
-bool PeerExchange::IsFar(const std::string& host) const {
+bool PeerExchange::IsInOtherZone(const std::string& host) const {
   return peers_.ZoneOf(host) != context_.options.zone;
 }
 
@@ -287,13 +288,13 @@
   const bool has_newer_document = update.document_version > context_.routing.Version();
   // The first node of a zone gets updates from the store reader in another zone and passes on what
   // it fetches, so it does not wait.
-  if (has_newer_document || catalog_.Revision() == 0 || IsFar(host)) {
+  if (has_newer_document || catalog_.Revision() == 0 || IsInOtherZone(host)) {
     (void)MaybeFetch(host, update.document_version, Now());
     return;
   }
   if (watching_gap_) return;
   watching_gap_ = true;
-  asio::co_spawn(context_.io, WatchGap(host, update.changes.revision), asio::detached);
+  asio::co_spawn(context_.io, FetchAfterGap(host, update.changes.revision), asio::detached);
 }
 
 DocumentNotice PeerExchange::MakeNotice(TimePoint now) const {
@@ -358,7 +359,7 @@
   }
 }
 
-asio::awaitable<void> PeerExchange::TellUsagePeriodically() {
+asio::awaitable<void> PeerExchange::TickUsagePeriodically() {
   Timer timer(context_.io);
   while (true) {
     context_.usage.Tick(Now(), WallNow());
@@ -402,7 +403,7 @@
   const udp::endpoint target(ip, context_.options.peer.port);
   socket_.send_to(asio::buffer(bytes), target, 0, error);
   const size_t sent = bytes.size() + kDatagramOverhead;
-  CountSent(datagram, static_cast<int64_t>(sent), IsFar(host));
+  CountSent(datagram, static_cast<int64_t>(sent), IsInOtherZone(host));
   return sent;
 }
 
@@ -428,9 +429,10 @@
   }
   // Delays the next digests so that these stay within the byte rate limit, and so that coordinators
   // receive the digests of all nodes at the intended spacing.
-  const double budget_s = static_cast<double>(sent_bytes) / context_.options.digest_bytes_per_s;
+  const double min_interval_s =
+      static_cast<double>(sent_bytes) / context_.options.digest_bytes_per_s;
   const Duration spaced = static_cast<int64_t>(peers_.LiveCount()) * kDigestSpacing;
-  digest_interval_ = std::clamp<Duration>(std::max<Duration>(FromSeconds(budget_s), spaced),
+  digest_interval_ = std::clamp<Duration>(std::max<Duration>(FromSeconds(min_interval_s), spaced),
                                           context_.options.digest_interval, kMaxDigestInterval);
 }
 
--- a/libs/relay/src/fleet/peer_exchange.h
+++ b/libs/relay/src/fleet/peer_exchange.h
@@ -39,12 +39,12 @@
   boost::asio::awaitable<void> Receive();
   boost::asio::awaitable<void> GossipPeriodically();
   boost::asio::awaitable<void> SendDigestsPeriodically();
-  boost::asio::awaitable<void> TellUsagePeriodically();
+  boost::asio::awaitable<void> TickUsagePeriodically();
   boost::asio::awaitable<void> FetchCatalog(std::string host, FetchSchedule::Running fetch);
-  boost::asio::awaitable<void> WatchGap(std::string host, int64_t revision);
-  boost::asio::awaitable<void> FetchUnlessClosed(std::string host, int64_t revision,
-                                                 Duration patience);
-  Duration UpdatePatience(const std::string& host) const;
+  boost::asio::awaitable<void> FetchAfterGap(std::string host, int64_t revision);
+  boost::asio::awaitable<void> FetchIfBehind(std::string host, int64_t revision,
+                                             Duration grace_period);
+  Duration UpdateGracePeriod(const std::string& host) const;
   boost::asio::awaitable<void> AnnounceDocument();
   void SendDigests();
   size_t Send(const std::string& host, const Datagram& datagram);
@@ -63,7 +63,7 @@
   // Starts a catalog fetch. Returns false when a running or recently ended fetch prevents it.
   // `version` is the document version at `host`.
   bool MaybeFetch(const std::string& host, int64_t version, TimePoint now);
-  bool IsFar(const std::string& host) const;
+  bool IsInOtherZone(const std::string& host) const;
   bool HasMissedUpdate(const std::string& host, int64_t revision, TimePoint now);
   std::optional<std::string> NearSource(TimePoint now);
   StoreView View(TimePoint now) const;
@@ -82,11 +82,11 @@
   DocumentAnnouncer announcer_;
   bool announcing_ = false;
   FetchSchedule fetches_;
-  bool asked_near_ = false;    // a first catalog fetch has been started
-  bool watching_gap_ = false;  // a fetch is scheduled unless the missing update arrives
+  bool tried_near_source_ = false;  // a first catalog fetch has been started
+  bool watching_gap_ = false;       // a fetch is scheduled unless the missing update arrives
   // Catalog revision of a peer that was ahead of this node, and when it was first seen; 0: none.
-  int64_t revision_elsewhere_ = 0;
-  TimePoint revision_elsewhere_since_{};
+  int64_t newer_revision_ = 0;
+  TimePoint newer_revision_since_{};
   TimePoint members_logged_{};
 };
 
--- a/libs/relay/src/fleet/peer_fetching.cc
+++ b/libs/relay/src/fleet/peer_fetching.cc
@@ -53,9 +53,10 @@
     return MakeError(ErrorKind::kConnectionLost, "catalog response may be truncated");
   }
   std::optional<CatalogMessage> catalog = DecodeCatalog(response->body, now);
-  if (!catalog.has_value())
+  if (!catalog.has_value()) {
     return MakeError(ErrorKind::kInvalidArgument,
                      fmt::format("catalog of {} bytes cannot be decoded", response->body.size()));
+  }
   return std::move(*catalog);
 }
 
@@ -69,8 +70,8 @@
 
 }  // namespace
 
-Duration PeerExchange::UpdatePatience(const std::string& host) const {
-  return IsFar(host) ? kCrossZoneGracePeriod : kUpdateGracePeriod;
+Duration PeerExchange::UpdateGracePeriod(const std::string& host) const {
+  return IsInOtherZone(host) ? kCrossZoneGracePeriod : kUpdateGracePeriod;
 }
 
 // Returns true when this node is behind `revision` although there was time to receive it, or to get
@@ -79,30 +80,30 @@
   const int64_t known = catalog_.Revision();
   if (revision <= known) return false;
   if (known == 0) return true;
-  if (revision_elsewhere_ <= known) {
-    revision_elsewhere_ = revision;
-    revision_elsewhere_since_ = now;
+  if (newer_revision_ <= known) {
+    newer_revision_ = revision;
+    newer_revision_since_ = now;
     // A timer is needed because the next message from `host` may be seconds away. When nodes waited
     // for another message with a newer revision, some of 24 nodes that lost every message of a
     // change still lacked it after 3.0 s in 6 of 13 runs; with this timer in none of 15.
-    asio::co_spawn(context_.io, FetchUnlessClosed(host, revision, UpdatePatience(host)),
+    asio::co_spawn(context_.io, FetchIfBehind(host, revision, UpdateGracePeriod(host)),
                    asio::detached);
   }
-  return now - revision_elsewhere_since_ >= UpdatePatience(host);
+  return now - newer_revision_since_ >= UpdateGracePeriod(host);
 }
 
 // Fetches from `host` unless the changes before `revision`, an update that `host` sent, arrive.
-asio::awaitable<void> PeerExchange::WatchGap(std::string host, int64_t revision) {
+asio::awaitable<void> PeerExchange::FetchAfterGap(std::string host, int64_t revision) {
   const int64_t spread = std::uniform_int_distribution<int64_t>(0, kGapSpreadMs)(random_);
-  const Duration patience = kGapGracePeriod + milliseconds(spread);
-  co_await FetchUnlessClosed(std::move(host), revision, patience);
+  const Duration grace_period = kGapGracePeriod + milliseconds(spread);
+  co_await FetchIfBehind(std::move(host), revision, grace_period);
   watching_gap_ = false;
 }
 
-// Fetches from `host` if this node has not reached `revision` after `patience`.
-asio::awaitable<void> PeerExchange::FetchUnlessClosed(std::string host, int64_t revision,
-                                                      Duration patience) {
-  Timer timer(context_.io, patience);
+// Fetches from `host` if this node has not reached `revision` after `grace_period`.
+asio::awaitable<void> PeerExchange::FetchIfBehind(std::string host, int64_t revision,
+                                                  Duration grace_period) {
+  Timer timer(context_.io, grace_period);
   boost::system::error_code ignored;
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   for (int i = 0; i < kMaxFetchRetries && catalog_.Revision() < revision; ++i) {
@@ -119,9 +120,9 @@
   std::string source = host;
   // A starting node hears the seeds first. If all nodes fetched from the seeds, a restart of the
   // fleet would overload them. If the chosen node lacks the catalog, the next fetch goes to `host`.
-  if (is_first && !asked_near_) source = NearSource(now).value_or(host);
+  if (is_first && !tried_near_source_) source = NearSource(now).value_or(host);
   if (!fetches_.MayBegin(source, has_newer_document || is_first, now)) return false;
-  asked_near_ = true;
+  tried_near_source_ = true;
   asio::co_spawn(context_.io, FetchCatalog(source, fetches_.Begin(source, now)), asio::detached);
   return true;
 }
@@ -130,7 +131,7 @@
 std::optional<std::string> PeerExchange::NearSource(TimePoint now) {
   std::vector<std::string> hosts;
   for (const auto& [host, peer] : peers_.Peers()) {
-    const bool is_near = peer.status == PeerStatus::kAlive && !IsFar(host);
+    const bool is_near = peer.status == PeerStatus::kAlive && !IsInOtherZone(host);
     const Duration uptime = peer.state.uptime + (now - peer.noted);
     if (is_near && uptime >= kHasCatalogAfter) hosts.push_back(host);
   }
--- a/libs/relay/src/fleet/peer_gossip.cc
+++ b/libs/relay/src/fleet/peer_gossip.cc
@@ -12,8 +12,8 @@
 // Interval between probes of one other node. Including acknowledgements and requested pings, this
 // is about 8 messages of 130 bytes per second: 1 KB/s of a node's 9 KB/s control traffic budget.
 constexpr Duration kProbeInterval = milliseconds(250);
-// Acknowledgements take 1 to 3 ms between zones; a node whose CPU quota is exhausted answers after
-// about 100 ms.
+// Acknowledgements take 1 to 3 ms between zones, and about 100 ms from a node that has exhausted
+// its CPU quota.
 constexpr Duration kAckTimeout = milliseconds(120);
 // Number of nodes asked to ping a node that did not answer. At 10% datagram loss on all links,
 // about one probe in 700 raises a false suspicion (calculated).
@@ -33,9 +33,9 @@
 constexpr int kUpdateTransmissions = 10;
 // Number of nodes that are notified immediately of a change of this node's own state.
 constexpr size_t kOwnChangeFanout = 16;
-// Limit on queued join updates. Further joins spread by syncs: sending updates for 480 joins in
-// turn would take 41 s and delay other updates.
-constexpr size_t kMaxQueuedJoins = 24;
+// While this many updates are queued, further joins spread only by syncs: sending updates for 480
+// joins in turn would take 41 s and delay other updates.
+constexpr size_t kJoinQueueLimit = 24;
 // A longer gap between ticks means that this process was not running, so that acknowledgements may
 // be waiting unread.
 constexpr Duration kPauseThreshold = milliseconds(400);
@@ -138,7 +138,7 @@
   if (!is_new && entry.incarnation <= known->incarnation) return;
   if (peers_.Heard(entry.host, entry.state, now)) NoteChange(entry.host, true);
   peers_.Find(entry.host)->incarnation = entry.incarnation;
-  if (is_new && updates_.size() >= kMaxQueuedJoins) return;
+  if (is_new && updates_.size() >= kJoinQueueLimit) return;
   Enqueue(entry.host);
 }
 
--- a/libs/relay/src/fleet/peer_table.h
+++ b/libs/relay/src/fleet/peer_table.h
@@ -70,8 +70,8 @@
   // Sets whether this node keeps begun streams for other nodes.
   void SetKeepsStreams(bool keeps) { self_.keeps_streams = keeps; }
 
-  // Fraction of all nodes heard so far, live or lost, that lend repeats. The others run builds that
-  // take a share of the extra repeats for themselves.
+  // Fraction of nodes that lend repeats, among this node and all nodes heard so far, live or lost.
+  // The others run builds that take a share of the extra repeats for themselves.
   double LendingShare() const;
 
   // Live nodes that bridge and are not stopping.
@@ -116,7 +116,7 @@
 
   // Up to `count` hosts of the coordinators of `service`, in order of preference; "" is this node.
   // All nodes that hear the same peers compute the same order. Recently started nodes rank last,
-  // since not all nodes know them yet; nodes with a larger CPU quota rank first.
+  // since not all nodes know them yet; nodes with a larger share of a core rank first.
   std::vector<std::string> RankCoordinators(const std::string& service, size_t count,
                                             TimePoint now) const;
 
@@ -136,6 +136,7 @@
 
   std::vector<LivePeer> LivePeers() const;
 
+  // Number of live nodes, without this one.
   size_t LiveCount() const;
 
   // Number of nodes, including this one, among which fleet-wide limits are divided: every known
@@ -163,9 +164,9 @@
   const std::string self_host_;  // always empty: denotes this node in rankings
   TimePoint started_;
   std::map<std::string, PeerRecord> peers_;  // by host
-  std::map<std::string, TimePoint>
-      forgotten_;       // when each removed host was removed; it may still be up
-  uint64_t epoch_ = 1;  // increases with each change of the live set
+  // Times at which hosts were forgotten; these may still be up.
+  std::map<std::string, TimePoint> forgotten_;
+  uint64_t epoch_ = 1;                               // increases with each change of the live set
   mutable std::map<std::string, Ranking> rankings_;  // cache, by purpose
 };
 
--- a/libs/relay/src/wire/zstd_frame.cc
+++ b/libs/relay/src/wire/zstd_frame.cc
@@ -42,7 +42,7 @@
 absl::StatusOr<std::string> DecompressFrame(std::string_view prefix, std::string_view frame) {
   const unsigned long long size = ZSTD_getFrameContentSize(frame.data(), frame.size());
   if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN) {
-    return FrameError("invalid header or unknown content size");
+    return FrameError("malformed");
   }
   if (size > kMaxTextBytes) {
     return FrameError(fmt::format("content size {} exceeds {} bytes", size, kMaxTextBytes));
