--- a/libs/relay/src/fleet/gossip_message.h
+++ b/libs/relay/src/fleet/gossip_message.h
@@ -24,8 +24,8 @@
 struct StoreView {
   int64_t catalog_revision = 0;  // all changes up to this one are known; 0: none
   int64_t document_version = 0;  // version in force; 0: none
-  std::optional<Duration>
-      confirmed_age;  // time since the store confirmed the document; empty: never
+  // Time since the store last confirmed the document; empty: never.
+  std::optional<Duration> confirmed_age;
 };
 
 enum class GossipKind : uint8_t {
--- a/libs/relay/src/fleet/peer_exchange.h
+++ b/libs/relay/src/fleet/peer_exchange.h
@@ -82,7 +82,7 @@
   DocumentAnnouncer announcer_;
   bool announcing_ = false;
   FetchSchedule fetches_;
-  bool tried_near_source_ = false;  // a first catalog fetch has been started
+  bool tried_near_source_ = false;  // a catalog fetch has been started
   bool watching_gap_ = false;       // a fetch is scheduled unless the missing update arrives
   // Catalog revision of a peer that was ahead of this node, and when it was first seen; 0: none.
   int64_t newer_revision_ = 0;
--- a/libs/relay/src/fleet/peer_fetching.cc
+++ b/libs/relay/src/fleet/peer_fetching.cc
@@ -34,9 +34,8 @@
 // before others ask them.
 constexpr Duration kGapGracePeriod = milliseconds(60);
 constexpr int64_t kGapSpreadMs = 60;
-// Retry interval of a fetch that another fetch prevented, since that one may hang. With a single
-// try, a node that had asked an unresponsive peer still lacked a change after 0.3 s in 4 of 12
-// runs.
+// Retry interval of a fetch that another fetch prevented, since that one may hang. Without retries,
+// a node that had asked an unresponsive peer still lacked a change after 0.3 s in 4 of 12 runs.
 constexpr Duration kFetchRetry = milliseconds(50);
 constexpr int kMaxFetchRetries = 40;
 // Uptime from which a node is assumed to have the catalog; it lacks it only if every node does.
--- a/libs/relay/src/fleet/peer_gossip.h
+++ b/libs/relay/src/fleet/peer_gossip.h
@@ -113,10 +113,10 @@
   std::map<uint32_t, RequestedPing> requested_pings_;  // by sequence of the ping sent by this node
   TimePoint last_tick_{};
   TimePoint last_heard_{};
-  TimePoint next_contact_{};  // to a host that is not live
+  TimePoint next_contact_{};  // with a host that is not live
   TimePoint next_sync_{};
   Duration sync_interval_;
-  int join_attempts_ = 0;  // join attempts since no other node is live
+  int join_attempts_ = 0;  // since no other node is live
   Changes changes_;
 };
 
