--- a/libs/quarantine/src/backend_end_watch.cc
+++ b/libs/quarantine/src/backend_end_watch.cc
@@ -7,7 +7,7 @@
 
 // The entry of a back end that has ended lapses within some heartbeats, 3.6 s where they come every
 // 1.2 s, and readers may hear of it a second later.
-constexpr Duration kMaxAmbiguousHold = seconds(10);
+constexpr Duration kLongestDoubt = seconds(10);
 // All requests at a back end break within 3 ms where it ends; those of a node that stood still
 // break when it goes on.
 constexpr Duration kEndRemembered = seconds(10);
@@ -76,9 +76,8 @@
     strikes.insert(strikes.end(), settled.begin(), settled.end());
   }
   for (auto& [backend, doubt] : doubts_) {
-    std::erase_if(doubt.requests, [now](const BrokenRequest& broken) {
-      return now - broken.when > kMaxAmbiguousHold;
-    });
+    std::erase_if(doubt.requests,
+                  [now](const BrokenRequest& broken) { return now - broken.when > kLongestDoubt; });
   }
   std::erase_if(doubts_, [](const auto& doubt) { return doubt.second.requests.empty(); });
   std::erase_if(ended_, [now](const auto& ended) { return now - ended.second > kEndRemembered; });
