--- a/libs/relay/src/placement/rate_notices.cc
+++ b/libs/relay/src/placement/rate_notices.cc
@@ -26,7 +26,7 @@
        {"source", source}});
 }
 
-void NoteBrittle(Dispatcher& dispatcher, BackendKey backend, const RateWord& word,
+void NoteBrittle(Dispatcher& dispatcher, BackendKey backend, const RateNotice& word,
                  const std::string& source) {
   const RateChange change = dispatcher.Registry().NoteBrittle(backend, word);
   if (change == RateChange::kNone) return;
--- a/libs/relay/src/request/answer_notices.cc
+++ b/libs/relay/src/request/answer_notices.cc
@@ -23,8 +23,8 @@
 
 bool IsRejection(int status) { return status == kUnavailable || status == kTooManyRequests; }
 
-std::optional<RateWord> ParseRateHeader(const NoticedAnswer& answer, const std::string& header,
-                                        const WireNames& names) {
+std::optional<RateNotice> ParseRateHeader(const NoticedAnswer& answer, const std::string& header,
+                                          const WireNames& names) {
   if (answer.status == kMisdirected) return std::nullopt;
   RateNotice word;
   word.asked = answer.asked;
@@ -56,22 +56,22 @@
   return notice;
 }
 
-std::optional<RateWord> ParseRateLimit(const NoticedAnswer& answer, const WireNames& names) {
+std::optional<RateNotice> ParseRateLimit(const NoticedAnswer& answer, const WireNames& names) {
   return ParseRateHeader(answer, names.rate_limit, names);
 }
 
-std::optional<RateWord> ParseBrittleLimit(const NoticedAnswer& answer, const WireNames& names) {
+std::optional<RateNotice> ParseBrittleLimit(const NoticedAnswer& answer, const WireNames& names) {
   return ParseRateHeader(answer, names.brittle, names);
 }
 
 void NoteAnswer(RelayContext& context, const Backend& backend, const NoticedAnswer& answer) {
   const auto& [status, headers, asked] = answer;
-  std::optional<RateWord> word = ParseRateLimit(answer, context.format.Names());
+  std::optional<RateNotice> word = ParseRateLimit(answer, context.format.Names());
   if (word.has_value()) {
     word->read = {Now(), WallNow()};
     NoteRate(context.dispatcher, backend.key, *word, "answer");
   }
-  std::optional<RateWord> brittle = ParseBrittleLimit(answer, context.format.Names());
+  std::optional<RateNotice> brittle = ParseBrittleLimit(answer, context.format.Names());
   if (brittle.has_value()) {
     brittle->read = {Now(), WallNow()};
     NoteBrittle(context.dispatcher, backend.key, *brittle, "answer");
--- a/libs/relay/src/request/answer_notices.h
+++ b/libs/relay/src/request/answer_notices.h
@@ -23,10 +23,10 @@
 // Returns the rate limit that the answer reports, in requests per second; `read` is left unset.
 // nullopt: the answer does not tell. A missing header means "no limit" only in the answer to a
 // request that was run, which carries a signature.
-std::optional<RateWord> ParseRateLimit(const NoticedAnswer& answer, const WireNames& names);
+std::optional<RateNotice> ParseRateLimit(const NoticedAnswer& answer, const WireNames& names);
 
 // The same for the rate of rejections that a brittle back end can sustain, in requests per second.
-std::optional<RateWord> ParseBrittleLimit(const NoticedAnswer& answer, const WireNames& names);
+std::optional<RateNotice> ParseBrittleLimit(const NoticedAnswer& answer, const WireNames& names);
 
 // Call for the head of every answer of `backend`, as soon as it is read.
 void NoteAnswer(RelayContext& context, const Backend& backend, const NoticedAnswer& answer);
--- a/libs/relay/src/request/exchange.cc
+++ b/libs/relay/src/request/exchange.cc
@@ -207,7 +207,7 @@
       LogAnswered();
       co_return keep_alive_;
     }
-    if (bound_to_backend_ || !MayTryAgain(*admitted_.route, outcome, history_)) break;
+    if (bound_to_backend_ || !MayRetry(*admitted_.route, outcome, history_)) break;
     if (!co_await IsVersionConfirmed()) break;
     if (deadline_ - Now() < kMinTimeForAttempt) break;
     if (!co_await AcquireRetry()) break;
