--- a/libs/relay/src/request/exchange_report.cc
+++ b/libs/relay/src/request/exchange_report.cc
@@ -25,7 +25,7 @@
 void Exchange::NoteRun(TimePoint now) {
   if (usage_counted_) return;
   usage_counted_ = true;
-  context_.usage.NoteRun(admitted_.tenant, now);
+  context_.usage.NoteStarted(admitted_.tenant, now);
 }
 
 namespace {
