--- a/libs/relay/src/upstream/bridge_message.cc
+++ b/libs/relay/src/upstream/bridge_message.cc
@@ -11,7 +11,7 @@
 namespace cartsail {
 namespace {
 
-// The kind is in the upper byte, the length in the others.
+// A frame head holds the kind in its upper byte and the payload length in the lower three.
 constexpr uint32_t kKindShift = 24;
 constexpr uint32_t kLengthMask = (1U << kKindShift) - 1;
 
--- a/libs/relay/src/upstream/path_use.h
+++ b/libs/relay/src/upstream/path_use.h
@@ -1,5 +1,5 @@
-// What this node's own connections to one back end are doing: whether anything is heard on them.
-// One thread.
+// Activity on this node's direct connections to one back end: when data was last received on any.
+// Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -16,10 +16,10 @@
 
 class PathUse {
  public:
-  // `on_way`: called when the first bytes come on a connection, which shows that there is a way.
+  // `on_way`: called on the first bytes of each connection, which prove that the path works.
   explicit PathUse(std::function<void()> on_way) : on_way_(std::move(on_way)) {}
 
-  // A request is sent.
+  // Records that a request is being sent on `connection`.
   void Begin(std::weak_ptr<UpstreamConnection> connection, TimePoint now) {
     if (waiting_++ == 0) waiting_since_ = now;
     const auto is_over = [&connection](const auto& other) {
@@ -29,7 +29,7 @@
     in_use_.push_back(std::move(connection));
   }
 
-  // Its answer has ended, or never will come.
+  // Records that a response has ended, or will never arrive.
   void End() { --waiting_; }
 
   void NoteHeard(bool is_first, TimePoint now) {
@@ -37,15 +37,15 @@
     if (is_first) on_way_();
   }
 
-  // When something came last.
+  // When data was last received; the zero time if never.
   TimePoint Heard() const { return heard_; }
 
-  // Nothing has come for `silence` on any connection, though something is waited for.
+  // True if responses are pending and no connection has received data for `silence`.
   bool IsSilent(Duration silence, TimePoint now) const {
     return waiting_ > 0 && now - std::max(heard_, waiting_since_) >= silence;
   }
 
-  // Those on which a request was sent, some of them done with it.
+  // Open connections on which a request was sent; some may have completed it.
   std::vector<std::shared_ptr<UpstreamConnection>> InUse() const {
     std::vector<std::shared_ptr<UpstreamConnection>> connections;
     for (const auto& weak : in_use_) {
--- a/libs/relay/src/upstream/upstream_pool.h
+++ b/libs/relay/src/upstream/upstream_pool.h
@@ -1,5 +1,5 @@
-// Idle connections to back ends, by the back end's incarnation: those of an earlier one are never
-// used again. One thread.
+// Pool of idle connections, keyed by the back end's incarnation: connections to an earlier
+// incarnation are never reused. Not thread-safe.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -19,23 +19,23 @@
  public:
   explicit UpstreamPool(boost::asio::any_io_executor executor) : executor_(executor) {}
 
-  // How many idle connections may be kept to a back end; kMaxIdleConnections where it is not set.
+  // Sets the limit of idle connections per back end; kMaxIdleConnections by default.
   using MostIdle = std::function<size_t(BackendKey backend)>;
   void SetMostIdle(MostIdle most_idle) { most_idle_ = std::move(most_idle); }
 
-  // An idle connection that is still quiet and of which `may_use` says so, or nullptr.
+  // Takes an idle connection that is still quiet and that `may_use` accepts; nullptr if none.
   using MayUse = std::function<bool(const UpstreamConnection& connection)>;
   std::shared_ptr<UpstreamConnection> TakeIdle(
       BackendKey backend, TimePoint now,
       const MayUse& may_use = [](const UpstreamConnection&) { return true; });
 
-  // Not yet connected.
+  // Creates a connection that is not yet connected.
   std::shared_ptr<UpstreamConnection> MakeNew();
 
   // Keeps a reusable connection, closes any other.
   void Return(BackendKey backend, std::shared_ptr<UpstreamConnection> connection);
 
-  // Keeps a connection that was made and not used yet.
+  // Keeps a connection that was established but has not carried a request.
   void Keep(BackendKey backend, std::shared_ptr<UpstreamConnection> connection, TimePoint now);
 
   // Closes the idle connections to a back end: the next request gets a new one.
@@ -44,10 +44,10 @@
   // Closes all idle connections on paths of this node's own.
   void CloseOwn();
 
-  // Back ends to which there is an idle connection, `most` at most.
+  // Up to `most` back ends to which there is an idle connection.
   std::vector<BackendKey> Connected(size_t most) const;
 
-  // Closes idle connections that ended or may not be used any more. About once a second.
+  // Closes idle connections that the peer closed or that expired. Called about once a second.
   void Sweep(TimePoint now);
 
  private:
--- a/libs/relay/src/upstream/upstream_stream.h
+++ b/libs/relay/src/upstream/upstream_stream.h
@@ -1,6 +1,6 @@
-// The bytes of a conversation with a back end: as they come on a connection of this node's own, or
-// out of the frames of a bridge. Meets the requirements of asynchronous streams, so that whoever
-// reads an answer does not know the difference.
+// Byte stream of an exchange with a back end: raw on a direct connection, unframed on a bridge.
+// Meets the Asio requirements of asynchronous streams, so that code that reads responses is the
+// same for both.
 #pragma once
 
 #include <array>
@@ -24,14 +24,14 @@
 
   executor_type get_executor() { return transport_.get_executor(); }
 
-  // The connection itself, to the back end or to the node that bridges.
+  // The underlying connection, to the back end or to the bridging node.
   TimedStream& Transport() { return transport_; }
 
-  // From now on frames are read.
+  // Switches reading to bridge frames.
   void ReadFrames() { is_framed_ = true; }
   bool IsFramed() const { return is_framed_; }
 
-  // How the last frame that carries no data ended what was read; kData: there was none.
+  // The kind of the frame that ended the response; kData if none has.
   FrameKind EndedBy() const { return ended_by_; }
 
   template <typename Buffers, typename Token>
@@ -46,7 +46,7 @@
   }
 
  private:
-  // Reads the head of a frame where none is under way, then some of its bytes.
+  // Reads a frame head if no frame is in progress, then part of its payload.
   template <typename Buffers>
   struct Read {
     UpstreamStream* stream;
@@ -88,8 +88,8 @@
     }
   };
 
-  // Only a frame tells that the back end closed its connection: the end of this one is that of the
-  // node between, and whoever reads would take it for the end of the answer.
+  // Only a frame reports that the back end closed its connection. End-of-file on the bridge comes
+  // from the bridging node, and the reader would mistake it for the end of the response.
   boost::beast::error_code ErrorOfReading(const boost::beast::error_code& error) const {
     if (is_framed_ && error == boost::asio::error::eof)
       return boost::asio::error::connection_aborted;
@@ -111,7 +111,7 @@
   bool is_framed_ = false;
   std::array<char, kFrameHeadBytes> head_{};
   size_t head_read_ = 0;
-  size_t left_ = 0;  // of the frame under way
+  size_t left_ = 0;  // unread payload bytes of the current frame
   FrameKind ended_by_ = FrameKind::kData;
 };
 
