--- a/libs/relay/src/upstream/bridge_message.h
+++ b/libs/relay/src/upstream/bridge_message.h
@@ -30,7 +30,7 @@
   kRefused,  // the back end's host refuses connections from the bridging node
   kFailed,   // the bridging node could not connect in time
   kNoPath,   // the bridging node knows its own path to the back end to be cut
-  kUnknown,  // the bridging node does not know the back end, or must not use it
+  kUnknown,  // the bridging node does not know the back end, or may not contact it
   kBusy,     // the bridging node is out of bridge memory, or is draining
   kLost,     // never sent: the bridging node did not answer
 };
--- a/libs/relay/src/upstream/bridge_server.cc
+++ b/libs/relay/src/upstream/bridge_server.cc
@@ -28,22 +28,22 @@
 using asio::ip::tcp;
 
 constexpr int kBacklog = 256;
-constexpr Duration kAcceptPause = milliseconds(50);  // after a failure, such as no descriptors
+constexpr Duration kAcceptPause = milliseconds(50);  // after an error, such as no free descriptors
 constexpr Duration kOrderPatience = seconds(2);
-// What came from the back end within that time shows that there is a path.
+// Data received from the back end within this time proves that the path works.
 constexpr Duration kHeardHolds = seconds(1);
 constexpr Duration kLongestConnecting = seconds(1);
-// The other node keeps an idle bridge for some seconds, as it does a connection of its own.
+// The requesting node keeps an idle bridge for some seconds, like a direct connection.
 constexpr Duration kLongestIdle = seconds(15);
-// Beyond the time that a request's caller waits: its answer may still be read.
+// Added to the time that the caller waits, as the response may still be being read.
 constexpr Duration kAnswerMargin = seconds(1);
-// In each direction.
+// Buffer size per direction.
 constexpr size_t kBufferBytes = 16 << 10;
-// Buffers of both directions, and what the connections keep.
+// Memory per bridge: the buffers of both directions and the state of both connections.
 constexpr int64_t kBridgeBytes = 64 << 10;
 
-// The connection to the back end ended by this node's doing: it was closed here, or its time was
-// over. That says nothing of the back end.
+// True if this node ended the connection to the back end, by closing it or by a timeout. This is no
+// evidence about the back end.
 bool IsOwnEnd(const boost::system::error_code& error) {
   return error == asio::error::operation_aborted || error == asio::error::bad_descriptor ||
          error == boost::beast::error::timeout;
@@ -82,8 +82,8 @@
   bool IsInUse() const { return is_waiting_; }
 
  private:
-  // Nothing was told of the back end's side: the other node is not to take the end of this
-  // connection, in order, for that of an answer. Nodes of earlier builds do.
+  // Resets the connection when no frame reported the end of the response: nodes of older builds
+  // take an orderly close for the end of the response.
   void Abort() {
     boost::system::error_code ignored;
     peer_.socket().set_option(asio::socket_base::linger(true, 0), ignored);
@@ -96,7 +96,7 @@
     return error ? std::string() : remote.address().to_string();
   }
 
-  // A message behind its length.
+  // Reads a length-prefixed message; std::nullopt on errors, time-outs and excess length.
   asio::awaitable<std::optional<std::string>> ReadMessage(Duration patience) {
     std::array<char, kBridgeLengthBytes> length_bytes{};
     peer_.expires_after(patience);
@@ -140,12 +140,12 @@
     const Duration patience = std::min<Duration>(order.patience, kLongestConnecting);
     const ConnectResult result = co_await upstream_->Connect(backend_.address, Now() + patience);
     bool stands = result == ConnectResult::kConnected;
-    // A path may take connections and reset them.
+    // A faulty path may accept connections and then reset them.
     const bool is_sure = !order.fresh && Now() - use_->Heard() < kHeardHolds;
     if (stands && !is_sure) stands = co_await server_.paths_.Stands(*upstream_);
     if (stands) co_return BridgeResult::kConnected;
     server_.paths_.NoteFailed(order.backend);
-    // It may be this node's path too that is cut: the next one that asks is to hear so at once.
+    // This node's path may be cut as well; later orders should then be answered immediately.
     server_.paths_.ExamineSoon(order.backend);
     const bool is_silent = result == ConnectResult::kFailed;
     co_return is_silent ? BridgeResult::kFailed : BridgeResult::kRefused;
@@ -165,7 +165,8 @@
     co_return co_await Send(buffers);
   }
 
-  // The other node has asked whether it may send; this one may have heard since that it may not.
+  // The requesting node has checked that the back end may receive requests, but this node may have
+  // learned since that it may not.
   bool MaySend() const {
     const Dispatcher& dispatcher = server_.dispatcher_;
     const Backend* known = dispatcher.Registry().FindByKey(backend_.key);
@@ -215,8 +216,8 @@
          {"sent", may_send ? "true" : "false"}});
   }
 
-  // A back end may answer and close without having read all: its answer is still passed on, and
-  // the rest of the request is read and dropped.
+  // A back end may respond and close before it has read the whole request: its response is still
+  // forwarded, and the rest of the request is read and discarded.
   asio::awaitable<bool> ForwardBytes(uint64_t left) {
     std::string buffer(std::min<uint64_t>(left, kBufferBytes), '\0');
     bool takes_more = true;
@@ -235,8 +236,8 @@
     co_return true;
   }
 
-  // The next bytes are read when the other node has taken those before: memory stays bounded while
-  // its caller stalls.
+  // Reads more only after the requesting node has accepted the previous bytes, which bounds memory
+  // while the caller stalls.
   static asio::awaitable<void> ForwardAnswers(std::shared_ptr<Bridge> self) {
     std::string buffer(kBufferBytes, '\0');
     while (true) {
@@ -260,11 +261,11 @@
   std::string host_;
   Backend backend_;
   std::shared_ptr<UpstreamConnection> upstream_;
-  Duration left_{};  // of the request under way
+  Duration left_{};  // remaining time of the current request's caller
   std::shared_ptr<PathUse> use_;
-  bool is_waiting_ = false;  // for an answer
+  bool is_waiting_ = false;  // a request was forwarded and its response is pending
   bool was_heard_ = false;
-  bool told_end_ = false;  // the other node was sent a frame that ends what it reads
+  bool told_end_ = false;  // the last frame sent ended the response
 };
 
 BridgeServer::BridgeServer(asio::io_context& io, BridgeServerOptions options,
@@ -283,7 +284,10 @@
 absl::Status BridgeServer::Start() {
   boost::system::error_code error;
   const auto ip = asio::ip::make_address(options_.listen.host, error);
-  if (error) return MakeError(ErrorKind::kInvalidArgument, "bridge: not an IP number");
+  if (error) {
+    return MakeError(ErrorKind::kInvalidArgument,
+                     fmt::format("bridge: {} is not an IP address", options_.listen.host));
+  }
   const tcp::endpoint endpoint(ip, options_.listen.port);
   acceptor_.open(endpoint.protocol(), error);
   if (!error) acceptor_.set_option(tcp::acceptor::reuse_address(true), error);
--- a/libs/relay/src/upstream/bridge_server.h
+++ b/libs/relay/src/upstream/bridge_server.h
@@ -1,7 +1,6 @@
-// Passes conversations with back ends on for nodes that have no path there: one bridge is one
-// connection of another node and one to the back end, between which bytes go as they come. Which
-// back end a request goes to, whether it may be repeated and how long it may take stay with the
-// node that has the caller. One thread.
+// Relays exchanges with back ends for nodes whose own path is cut. A bridge couples one connection
+// from another node with one to the back end and forwards bytes as they arrive. The node that has
+// the caller decides on the back end, on repeats and on time limits. Not thread-safe.
 #pragma once
 
 #include <absl/status/status.h>
@@ -24,7 +23,7 @@
 
 struct BridgeServerOptions {
   Endpoint listen;
-  int64_t memory_bytes = 0;  // that bridges may take
+  int64_t memory_bytes = 0;  // memory limit of all bridges; at least one bridge is allowed
 };
 
 class BridgeServer {
@@ -33,13 +32,13 @@
                const Dispatcher& dispatcher, PathService& paths, UpstreamPool& pool);
   ~BridgeServer();
 
-  // kInvalidArgument when the address cannot be bound.
+  // Starts listening; kInvalidArgument if the address is invalid or cannot be bound.
   absl::Status Start();
 
-  // No further request is passed on; those under way go on.
+  // Stops forwarding new requests; those in progress continue.
   void Drain() { draining_ = true; }
 
-  // Bridges with a request under way.
+  // Number of bridges with a request in progress.
   size_t InUse() const;
 
  private:
--- a/libs/relay/src/upstream/upstream_connection.cc
+++ b/libs/relay/src/upstream/upstream_connection.cc
@@ -25,18 +25,19 @@
 constexpr size_t kReadBytes = 1 << 13;
 constexpr size_t kMostBufferedBytes = 1 << 16;
 constexpr Duration kDefaultIdleLimit = seconds(4);
-constexpr Duration kIdleMargin = milliseconds(700);  // before the back end closes an idle one
+constexpr Duration kIdleMargin =
+    milliseconds(700);  // safety margin before the back end's idle timeout
 constexpr int kMostInterimAnswers = 8;
 
 bool IsTimeout(const beast::error_code& error) { return error == beast::error::timeout; }
 
-// The other side ended its side of the connection in order.
+// True if the peer closed its side of the connection in an orderly way.
 bool IsClosedByPeer(const beast::error_code& error) {
   return error == asio::error::eof || error == http::error::end_of_stream ||
          error == http::error::partial_message;
 }
 
-// "timeout=5, max=100" -> 5 s.
+// Parses the timeout of a Keep-Alive header: "timeout=5, max=100" -> 5 s.
 std::optional<Duration> KeepAliveTimeout(std::string_view text) {
   constexpr std::string_view kName = "timeout=";
   const size_t start = text.find(kName);
@@ -106,7 +107,7 @@
   if (error == asio::error::connection_refused) co_return ConnectResult::kRefused;
   if (error) co_return ConnectResult::kFailed;
   transport.socket().set_option(tcp::no_delay(true), error);
-  // The limit is of the connecting: left armed it closes a connection that is kept idle.
+  // The deadline covers connecting only; left armed, it would close the connection while idle.
   transport.expires_never();
   connected_ = Now();
   co_return ConnectResult::kConnected;
@@ -157,7 +158,8 @@
                     });
 }
 
-// Lets the other node know that nothing is under way. Some bytes always fit: the answer was read.
+// Tells the bridging node that no exchange is in progress. The message is expected to fit into the
+// socket's send buffer, since the response was read; if it does not, the connection is broken.
 void UpstreamConnection::TellAnswerRead() {
   if (over_.empty() || broken_ || write_pending_) return;
   const std::string message = EncodeBridgedRequest({});
--- a/libs/relay/src/upstream/upstream_connection.h
+++ b/libs/relay/src/upstream/upstream_connection.h
@@ -1,5 +1,5 @@
-// One connection to a back end, on a path of this node's own or over another node. Used by one
-// exchange at a time; a connection on which anything unexpected happened is not used again.
+// One connection to a back end, direct or over a bridging node. Carries one exchange at a time; it
+// is not reused after an error or an unexpected event.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -25,7 +25,7 @@
   kNone,
   kTimeout,    // the deadline of the call passed
   kBroken,     // the connection broke or was closed
-  kMalformed,  // bytes that are no answer
+  kMalformed,  // the bytes received are not a valid response
 };
 
 std::string_view ConnectResultName(ConnectResult result);
@@ -34,82 +34,83 @@
   int status = 0;
   std::string reason;
   HttpHeaders headers;
-  std::optional<uint64_t> length;  // of the body, if the head tells it
+  std::optional<uint64_t> length;  // Content-Length; std::nullopt if absent
 
   std::string_view Header(std::string_view name) const { return FindHeader(headers, name); }
 };
 
-// What goes along with a request that is sent.
+// Properties of a request that are not part of its bytes.
 struct SentRequest {
   std::string id;
-  Duration left{};  // that its caller still waits
-  bool may_repeat = false;
+  Duration left{};          // remaining time that the caller waits
+  bool may_repeat = false;  // the request may be sent again elsewhere
 };
 
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
  public:
   explicit UpstreamConnection(boost::asio::any_io_executor executor);
 
-  // Unless it is connected by `deadline`, nothing was sent.
+  // Connects directly. Sends no data; the attempt fails at `deadline`.
   boost::asio::awaitable<ConnectResult> Connect(const std::string& address, TimePoint deadline);
 
-  // The same over the node that bridges at `peer`.
+  // Connects over the bridging node at `peer`.
   boost::asio::awaitable<BridgeResult> ConnectOver(const Endpoint& peer, const BridgeOrder& order,
                                                    TimePoint deadline);
 
-  // When the back end took it; the end of time where another node connected to the back end.
+  // When the back end accepted the connection; TimePoint::max() on a bridge, where another node
+  // connected to the back end.
   TimePoint Connected() const { return over_.empty() ? connected_ : TimePoint::max(); }
 
-  // The node over which it goes; empty: none.
+  // The host of the bridging node; empty for a direct connection.
   const std::string& Over() const { return over_; }
 
-  // What is seen of the path, of this connection and of others, is noted there.
+  // Sets the record of path activity, shared with other connections; none by default.
   void SetUse(std::shared_ptr<PathUse> use) { use_ = std::move(use); }
 
-  // Starts sending; the answer may be read meanwhile. A failure to send shows when reading.
+  // Starts sending; the response may be read meanwhile. Send errors surface when reading.
   void StartRequest(std::string head, std::shared_ptr<const std::string> body,
                     const SentRequest& about = {});
 
-  // Reads the head of the next final answer. `is_head_request`: its body is not sent.
+  // Reads the next final response head. `is_head_request`: the response has no body.
   boost::asio::awaitable<UpstreamError> ReadHead(ResponseHead* head, bool is_head_request,
                                                  TimePoint deadline);
 
-  // Reads some of the body into `*chunk`; an empty one is its end.
+  // Reads part of the body into `*chunk`; an empty chunk without an error is the end.
   boost::asio::awaitable<UpstreamError> ReadBody(std::string* chunk, TimePoint deadline);
 
-  // What tells the end of the body whose head was read last.
+  // What delimits the body of the response whose head was read last.
   BodyFraming Framing() const { return framing_; }
 
-  // How the reading of that body has ended; kFraming until then.
+  // How reading that body ended; kFraming until then.
   ReadingEnd HowReadingEnded() const { return reading_end_; }
 
-  // True after a whole exchange that leaves the connection clean.
+  // True after a complete exchange that left the connection fit for another one.
   bool IsReusable() const;
 
-  // True when an idle connection has neither been closed nor got bytes that nobody asked for.
+  // True if an idle connection was neither closed nor received unsolicited bytes.
   bool IsQuiet();
 
-  // Closes at once; pending calls end with kBroken.
+  // Closes immediately; pending calls end with kBroken.
   void Close();
 
-  // The path is cut: a request that may be repeated, and of which nothing was heard for `silence`,
-  // is to be sent elsewhere.
+  // For a cut path: closes the connection if it waits for the response to a repeatable request and
+  // has received nothing for `silence`, so that the request is sent elsewhere.
   void GiveUpIfSilent(Duration silence, TimePoint now);
 
-  // It ended on the way to the back end, which says nothing of the back end itself: the other node
-  // went, or the path was cut.
+  // True if the connection failed before the back end, because the bridging node went away or the
+  // path was cut; this is no evidence about the back end itself.
   bool IsLostOnTheWay() const;
 
-  // The node over which it goes has not passed the last request on: it was not sent.
+  // True if the bridging node did not forward the last request to the back end.
   bool WasWithheld() const { return stream_.EndedBy() == FrameKind::kWithheld; }
 
-  // The connection as bytes, for a node that bridges.
+  // The raw byte stream, for use by a bridging node.
   TimedStream& Transport() { return stream_.Transport(); }
 
-  // The connection is idle from now on.
+  // Marks the connection as idle since `now`.
   void NoteIdle(TimePoint now) { usable_until_ = now + idle_limit_; }
 
-  // Idle connections may be used until then.
+  // When the idle connection expires.
   TimePoint UsableUntil() const { return usable_until_; }
 
  private:
@@ -125,12 +126,12 @@
   std::string over_;
   TimePoint connected_{};
   std::shared_ptr<PathUse> use_;
-  std::string prefix_;  // before the request, on a bridge
+  std::string prefix_;  // encoded BridgedRequest; empty on a direct connection
   bool may_repeat_ = false;
-  bool is_waiting_ = false;  // a request was sent, and its answer has not ended
+  bool is_waiting_ = false;  // a request was started and its response has not ended
   bool given_up_ = false;
   bool was_heard_ = false;
-  TimePoint last_heard_{};  // or when the request was sent
+  TimePoint last_heard_{};  // last data received, or start of the request if later
   boost::beast::flat_buffer buffer_;
   std::optional<boost::beast::http::response_parser<boost::beast::http::buffer_body>> parser_;
   std::string request_head_;
