--- a/libs/relay/src/upstream/path_service.cc
+++ b/libs/relay/src/upstream/path_service.cc
@@ -15,21 +15,21 @@
 
 namespace asio = boost::asio;
 
-// A connection within a region takes some milliseconds; a lost packet would cost a second.
+// Connecting within a region takes a few milliseconds; a lost packet would cost a second.
 constexpr Duration kOwnPatience = milliseconds(120);
 constexpr Duration kBridgePatience = milliseconds(200);
-constexpr Duration kBridgeMargin = milliseconds(50);  // beyond the other node's connecting
-constexpr Duration kAskingPause = milliseconds(20);   // between one node that is asked and the next
-// Where a back end has lost its paths to three nodes of five, seven others find one that reaches it
-// in 97 of 100 cases.
+constexpr Duration kBridgeMargin = milliseconds(50);  // added to the other node's connect time
+constexpr Duration kAskingPause = milliseconds(20);   // between asking one node and the next
+// If three of five nodes have lost their path to a back end, asking seven nodes finds one that
+// reaches it in 97 of 100 cases.
 constexpr size_t kMostObservers = 7;
-// Prompts are read and requests wait for long at engines that are well: a connection that nothing
-// is heard on for so long is reason to see whether there is still a way, and no more.
+// Healthy engines may process a prompt or queue a request for long: silence of this length only
+// triggers an examination of the path.
 constexpr Duration kSilence = seconds(1);
-constexpr Duration kExaminationPause = seconds(1);  // between two of a back end without a request
-// A path may take connections and reset them.
+constexpr Duration kExaminationPause = seconds(1);  // between background examinations of a back end
+// A faulty path may accept connections and then reset them: time for which a new one is observed.
 constexpr Duration kStandsFor = milliseconds(10);
-// All are asked, and the last one has had its time.
+// Long enough to ask all nodes and to await the result of the last.
 constexpr Duration kLongestRound =
     kMostObservers * kAskingPause + kBridgePatience + 2 * kBridgeMargin;
 constexpr size_t kProbesAtOnce = 4;
@@ -42,7 +42,7 @@
   return result == BridgeResult::kRefused ? ConnectResult::kRefused : ConnectResult::kFailed;
 }
 
-// The other node has tried.
+// True if the other node tried to connect to the back end.
 bool HasTried(BridgeResult result) {
   return result == BridgeResult::kConnected || result == BridgeResult::kRefused ||
          result == BridgeResult::kFailed;
@@ -132,8 +132,8 @@
   co_return co_await AskOthers(backend, std::move(bridges), false, own, deadline, on_pending);
 }
 
-// Each node is asked a moment after the one before, unless that one has answered: one that has a
-// path answers within some milliseconds, and only one that has none takes its time.
+// Asks the nodes kAskingPause apart, or at once after a node reported failure: a node with a
+// working path answers within milliseconds, and only one without takes long.
 asio::awaitable<OpenedPath> PathService::AskOthers(const Backend& backend,
                                                    std::vector<std::string> bridges, bool fresh,
                                                    ConnectResult own, TimePoint deadline,
@@ -203,7 +203,7 @@
   if (last != last_bridges_.end() && last->second.host == host) last_bridges_.erase(last);
 }
 
-// Another node has just connected to it.
+// Records that another node has just connected to the back end.
 void PathService::NoteReached(const Backend& backend) {
   const bool had_lost_all = table_.HasLostAllPaths();
   if (!table_.NoteReachedByOther(backend.key, Now())) return;
@@ -214,12 +214,12 @@
        {"cut_paths", std::to_string(table_.CutPaths())},
        {"lost_all", table_.HasLostAllPaths() ? "true" : "false"}});
   pool_.CloseIdle(backend.key);
-  // Those that are idle are as old as the ones that were lost.
+  // The idle connections are as old as those that were lost.
   if (table_.HasLostAllPaths() && !had_lost_all) pool_.CloseOwn();
   NoteLostAll();
 }
 
-// Others do not ask a node that has lost its paths to bridge.
+// Publishes whether this node can bridge: a node that has lost all its paths is not asked to.
 void PathService::NoteLostAll() {
   if (std::exchange(told_lost_all_, table_.HasLostAllPaths()) == table_.HasLostAllPaths()) return;
   peers_.SetBridges(!table_.HasLostAllPaths());
@@ -230,8 +230,8 @@
 asio::awaitable<PathVerdict> PathService::Examine(Backend backend, TimePoint since,
                                                   std::optional<ConnectResult> own) {
   if (!peers_.HasBridge()) {
-    // Alone, or among nodes of an earlier build: its own word counts, unless its paths are in
-    // doubt.
+    // No node can bridge (none is live, or they run an older build): only the node's own result
+    // counts, unless some of its paths are cut.
     const bool is_in_doubt = table_.CutPaths() > 0;
     co_return ReachabilityEvidence(own.value_or(ConnectResult::kFailed), is_in_doubt).Verdict();
   }
@@ -265,7 +265,7 @@
   co_return over.verdict;
 }
 
-// A new connection of this node's own is kept where it stands.
+// Connects directly and pools the connection unless it is reset at once.
 asio::awaitable<ConnectResult> PathService::ConnectOwn(Backend backend) {
   const OnPending nobody = [](const std::shared_ptr<UpstreamConnection>&) {};
   const OpenedPath opened = co_await OpenOwn(backend, Now() + kOwnPatience, nobody);
@@ -293,7 +293,8 @@
   return peer != nullptr && PeerTable::IsBridge(*peer);
 }
 
-// The one over which it was reached last, then those of this zone, then others, in random order.
+// Hosts to ask: the last one that reached the back end, then nodes of this zone, then others, each
+// group in random order.
 std::vector<std::string> PathService::Bridges(BackendKey backend, const RegionSet& allowed,
                                               size_t most) {
   const TimePoint now = Now();
@@ -320,7 +321,8 @@
   return hosts;
 }
 
-// Requests wait on connections that nothing comes on.
+// Handles back ends whose connections are silent while requests wait: closes the connections on cut
+// paths and examines the others.
 void PathService::GiveUpSilent(TimePoint now) {
   for (const auto& [backend, use] : uses_) {
     if (!use->IsSilent(kSilence, now)) continue;
--- a/libs/relay/src/upstream/path_service.h
+++ b/libs/relay/src/upstream/path_service.h
@@ -1,6 +1,6 @@
-// The ways from this node to back ends: its own paths, or over another node that has one. Finds out
-// which of its own paths are cut, by its connections and by what other nodes reach, without waiting
-// for a request to fail on each. One thread.
+// Opens connections to back ends, directly or over another node that reaches the back end. Detects
+// cut direct paths from this node's connections and from what other nodes reach, without waiting
+// for a request to fail on each path. Not thread-safe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -25,64 +25,66 @@
 
 // A connection to a back end that a request may use.
 struct OpenedPath {
-  std::shared_ptr<UpstreamConnection> connection;  // nullptr: there is none
-  ConnectResult own = ConnectResult::kConnected;   // of this node's own connecting, if it tried
-  // Without a connection: what that says.
+  std::shared_ptr<UpstreamConnection> connection;  // nullptr if none was opened
+  ConnectResult own = ConnectResult::kConnected;   // result of connecting directly, if tried
+  // What the attempt showed about the path; kUnknown if nothing.
   PathVerdict verdict = PathVerdict::kUnknown;
+  // The failure is no evidence about the back end: the path may be at fault.
   bool says_nothing_of_backend = false;
 };
 
 class PathService {
  public:
-  // Called with each connection that is being made, so that it can be given up.
+  // Called with each connection before it is established, so that the caller can close it.
   using OnPending = std::function<void(std::shared_ptr<UpstreamConnection>)>;
 
-  // `connect_timeout`: to connect to a back end where there is no other way; outlives this.
-  // `bridge_port`: at which nodes bridge.
+  // `connect_timeout`: limit for connecting directly when no node can bridge; must outlive this.
+  // `bridge_port`: the port on which nodes accept bridges.
   PathService(boost::asio::io_context& io, const Duration& connect_timeout, uint16_t bridge_port,
               const Dispatcher& dispatcher, PeerTable& peers, UpstreamPool& pool);
 
-  // For a request that may be served in `allowed`: an idle connection, or a new one, on this node's
-  // own path, or over another node in one of these regions.
+  // Opens a connection for a request that may be served in the `allowed` regions: an idle or a new
+  // one, direct or over another node in one of these regions.
   boost::asio::awaitable<OpenedPath> Open(Backend backend, RegionSet allowed, TimePoint deadline,
                                           OnPending on_pending);
 
-  // What keeps this node from the back end, if something does. Connections that are made are kept.
-  // Where something was heard on this node's own path since `since`, or nobody else can be asked,
-  // nothing is tried. `own`: how a connection of this node's own has just ended, if one was tried.
+  // Determines whether this node, or any, can reach the back end. Connections made are pooled.
+  // Nothing is tried if the path is known to be cut, if data was received on the direct path after
+  // `since`, or if no other node can bridge. `own`: the result of a direct connect just made;
+  // std::nullopt if none was.
   boost::asio::awaitable<PathVerdict> Examine(Backend backend, TimePoint since,
                                               std::optional<ConnectResult> own = std::nullopt);
 
-  // The same, without waiting for it, once in a while.
+  // Starts Examine() in the background, at most once per kExaminationPause and back end.
   void ExamineSoon(BackendKey backend);
 
-  // To be called about ten times a second.
+  // Periodic work; to be called about ten times a second.
   void Tick(TimePoint now);
 
-  // For those that this node bridges to: it knows that it has no path there itself.
+  // True if this node's direct path is known to be cut, so that it cannot bridge to the back end.
   bool IsCut(BackendKey backend) const { return table_.IsCut(backend); }
 
-  // A connection of this node's own was not made, or stands.
+  // Records that a direct connection could not be made, or that one is established.
   void NoteFailed(BackendKey backend);
   void NoteStands(BackendKey backend);
 
-  // False where the connection, just made, is reset at once: there are paths that do so.
+  // False if the new connection is reset at once, as some faulty paths do.
   boost::asio::awaitable<bool> Stands(UpstreamConnection& connection);
 
-  // What this node's own connections to it are doing, those made for other nodes included.
+  // Activity on the direct connections to the back end, including those made for other nodes.
   std::shared_ptr<PathUse> UseOf(BackendKey backend);
 
   size_t CutPaths() const { return table_.CutPaths(); }
 
  private:
-  // An examination under way, for which others may wait too.
+  // An examination in progress, which several callers may await.
   struct Examination {
     explicit Examination(boost::asio::io_context& io) : done(io, TimePoint::max()) {}
-    Timer done;  // cancelled at the end
+    Timer done;  // cancelled when the verdict is set
     std::optional<PathVerdict> verdict;
   };
 
-  // Other nodes are asked to reach a back end.
+  // A round of asking other nodes to connect to a back end.
   struct AskingRound {
     AskingRound(boost::asio::io_context& io, ReachabilityEvidence known)
         : evidence(known), changed(io) {}
@@ -94,14 +96,14 @@
     }
 
     ReachabilityEvidence evidence;
-    std::shared_ptr<UpstreamConnection> connection;  // of the first one that reached it
+    std::shared_ptr<UpstreamConnection> connection;  // from the first node that reached it
     int running = 0;
-    TimePoint next{};  // when one more is asked
+    TimePoint next{};  // when the next node may be asked
     bool is_over = false;
-    Timer changed;  // cancelled by each answer
+    Timer changed;  // cancelled by each result
   };
 
-  // The node over which a back end was reached last.
+  // The node over which a back end was last reached.
   struct LastBridge {
     std::string host;
     TimePoint when;
@@ -137,10 +139,10 @@
   UpstreamPool& pool_;
   PathTable table_;
   std::unordered_map<BackendKey, std::shared_ptr<PathUse>> uses_;
-  std::unordered_map<BackendKey, TimePoint> examined_;  // for silence, last
+  std::unordered_map<BackendKey, TimePoint> examined_;  // last ExamineSoon() that ran
   std::unordered_map<BackendKey, std::shared_ptr<Examination>> examinations_;
   std::unordered_map<BackendKey, LastBridge> last_bridges_;
-  std::map<std::string, TimePoint> avoided_;  // nodes that did not answer, until then
+  std::map<std::string, TimePoint> avoided_;  // nodes lost or busy: not asked before this
   std::minstd_rand random_;
   bool told_lost_all_ = false;
   TimePoint next_forgetting_{};
