--- a/libs/relay/src/upstream/bridge_server.cc
+++ b/libs/relay/src/upstream/bridge_server.cc
@@ -29,12 +29,12 @@
 
 constexpr int kBacklog = 256;
 constexpr Duration kAcceptPause = milliseconds(50);  // after an error, such as no free descriptors
-constexpr Duration kOrderPatience = seconds(2);
+constexpr Duration kOrderTimeout = seconds(2);
 // Data received from the back end within this time proves that the path works.
-constexpr Duration kHeardHolds = seconds(1);
-constexpr Duration kLongestConnecting = seconds(1);
+constexpr Duration kReceivedProofValidity = seconds(1);
+constexpr Duration kMaxConnectTime = seconds(1);
 // The requesting node keeps an idle bridge for some seconds, like a direct connection.
-constexpr Duration kLongestIdle = seconds(15);
+constexpr Duration kMaxIdleTime = seconds(15);
 // Added to the time that the caller waits, as the response may still be being read.
 constexpr Duration kAnswerMargin = seconds(1);
 // Buffer size per direction.
@@ -68,7 +68,7 @@
     asio::co_spawn(server_.io_, ForwardAnswers(shared_from_this()), asio::detached);
     while (co_await ForwardRequest()) {
     }
-    told_end_ ? Close() : Abort();
+    end_reported_ ? Close() : Abort();
   }
 
   void Close() {
@@ -114,7 +114,7 @@
   }
 
   asio::awaitable<std::optional<BridgeOrder>> ReadOrder() {
-    const std::optional<std::string> message = co_await ReadMessage(kOrderPatience);
+    const std::optional<std::string> message = co_await ReadMessage(kOrderTimeout);
     if (!message.has_value()) co_return std::nullopt;
     co_return DecodeBridgeOrder(*message);
   }
@@ -137,11 +137,11 @@
     if (upstream_ != nullptr) co_return BridgeResult::kConnected;
     upstream_ = server_.pool_.MakeNew();
     GlobalCounters().backend_connects_total.Add();
-    const Duration patience = std::min<Duration>(order.patience, kLongestConnecting);
+    const Duration patience = std::min<Duration>(order.patience, kMaxConnectTime);
     const ConnectResult result = co_await upstream_->Connect(backend_.address, Now() + patience);
     bool stands = result == ConnectResult::kConnected;
     // A faulty path may accept connections and then reset them.
-    const bool is_sure = !order.fresh && Now() - use_->Heard() < kHeardHolds;
+    const bool is_sure = !order.fresh && Now() - use_->Heard() < kReceivedProofValidity;
     if (stands && !is_sure) stands = co_await server_.paths_.Stands(*upstream_);
     if (stands) co_return BridgeResult::kConnected;
     server_.paths_.NoteFailed(order.backend);
@@ -161,12 +161,12 @@
   asio::awaitable<bool> SendFrame(FrameKind kind, std::string_view bytes = {}) {
     const auto head = EncodeFrameHead({kind, static_cast<uint32_t>(bytes.size())});
     const std::array<asio::const_buffer, 2> buffers = {asio::buffer(head), asio::buffer(bytes)};
-    told_end_ = kind != FrameKind::kData;
+    end_reported_ = kind != FrameKind::kData;
     co_return co_await Send(buffers);
   }
 
-  // The requesting node has checked that the back end may receive requests, but this node may have
-  // learned since that it may not.
+  // The requesting node chose the back end from its own state; this node may have learned since
+  // that the back end may not receive requests.
   bool MaySend() const {
     const Dispatcher& dispatcher = server_.dispatcher_;
     const Backend* known = dispatcher.Registry().FindByKey(backend_.key);
@@ -176,7 +176,7 @@
 
   asio::awaitable<bool> ForwardRequest() {
     const std::optional<std::string> message =
-        co_await ReadMessage(is_waiting_ ? left_ + kAnswerMargin : kLongestIdle);
+        co_await ReadMessage(is_waiting_ ? left_ + kAnswerMargin : kMaxIdleTime);
     if (!message.has_value()) co_return false;
     const std::optional<BridgedRequest> request = DecodeBridgedRequest(*message);
     if (!request.has_value()) co_return false;
@@ -265,7 +265,7 @@
   std::shared_ptr<PathUse> use_;
   bool is_waiting_ = false;  // a request was forwarded and its response is pending
   bool was_heard_ = false;
-  bool told_end_ = false;  // the last frame sent ended the response
+  bool end_reported_ = false;  // the last frame sent ended the response
 };
 
 BridgeServer::BridgeServer(asio::io_context& io, BridgeServerOptions options,
--- a/libs/relay/src/upstream/path_service.cc
+++ b/libs/relay/src/upstream/path_service.cc
@@ -16,26 +16,27 @@
 namespace asio = boost::asio;
 
 // Connecting within a region takes a few milliseconds; a lost packet would cost a second.
-constexpr Duration kOwnPatience = milliseconds(120);
-constexpr Duration kBridgePatience = milliseconds(200);
+constexpr Duration kDirectConnectTimeout = milliseconds(120);
+constexpr Duration kBridgeConnectTimeout = milliseconds(200);
 constexpr Duration kBridgeMargin = milliseconds(50);  // added to the other node's connect time
-constexpr Duration kAskingPause = milliseconds(20);   // between asking one node and the next
+constexpr Duration kAskInterval = milliseconds(20);   // between asking one node and the next
 // If three of five nodes have lost their path to a back end, asking seven nodes finds one that
 // reaches it in 97 of 100 cases.
-constexpr size_t kMostObservers = 7;
+constexpr size_t kMaxObservers = 7;
 // Healthy engines may process a prompt or queue a request for long: silence of this length only
 // triggers an examination of the path.
 constexpr Duration kSilence = seconds(1);
-constexpr Duration kExaminationPause = seconds(1);  // between background examinations of a back end
+constexpr Duration kExaminationInterval =
+    seconds(1);  // between background examinations of a back end
 // A faulty path may accept connections and then reset them: time for which a new one is observed.
-constexpr Duration kStandsFor = milliseconds(10);
+constexpr Duration kResetObservation = milliseconds(10);
 // Long enough to ask all nodes and to await the result of the last.
-constexpr Duration kLongestRound =
-    kMostObservers * kAskingPause + kBridgePatience + 2 * kBridgeMargin;
-constexpr size_t kProbesAtOnce = 4;
-constexpr Duration kAvoided = seconds(1);
-constexpr Duration kBridgeRemembered = seconds(30);
-constexpr Duration kForgettingPause = seconds(1);
+constexpr Duration kRoundTimeout =
+    kMaxObservers * kAskInterval + kBridgeConnectTimeout + 2 * kBridgeMargin;
+constexpr size_t kMaxConcurrentProbes = 4;
+constexpr Duration kAvoidDuration = seconds(1);
+constexpr Duration kLastBridgeRetention = seconds(30);
+constexpr Duration kCleanupInterval = seconds(1);
 
 ConnectResult AsConnect(BridgeResult result) {
   if (result == BridgeResult::kConnected) return ConnectResult::kConnected;
@@ -97,7 +98,7 @@
   GlobalCounters().backend_connects_total.Add();
   on_pending(connection);
   const bool is_alone = !peers_.HasBridge();
-  const Duration patience = is_alone ? connect_timeout_ : kOwnPatience;
+  const Duration patience = is_alone ? connect_timeout_ : kDirectConnectTimeout;
   const TimePoint limit = std::min(deadline, Now() + patience);
   opened.own = co_await connection->Connect(backend.address, limit);
   if (opened.own != ConnectResult::kConnected) {
@@ -127,12 +128,12 @@
 asio::awaitable<OpenedPath> PathService::OpenOver(const Backend& backend, const RegionSet& allowed,
                                                   ConnectResult own, TimePoint deadline,
                                                   const OnPending& on_pending) {
-  std::vector<std::string> bridges = Bridges(backend.key, allowed, kMostObservers);
-  deadline = std::min(deadline, Now() + kLongestRound);
+  std::vector<std::string> bridges = Bridges(backend.key, allowed, kMaxObservers);
+  deadline = std::min(deadline, Now() + kRoundTimeout);
   co_return co_await AskOthers(backend, std::move(bridges), false, own, deadline, on_pending);
 }
 
-// Asks the nodes kAskingPause apart, or at once after a node reported failure: a node with a
+// Asks the nodes kAskInterval apart, or at once after a node reported failure: a node with a
 // working path answers within milliseconds, and only one without takes long.
 asio::awaitable<OpenedPath> PathService::AskOthers(const Backend& backend,
                                                    std::vector<std::string> bridges, bool fresh,
@@ -145,7 +146,7 @@
     if (next < bridges.size() && round->MayAskNext(Now())) {
       auto connection = pool_.MakeNew();
       on_pending(connection);
-      round->NoteAsked(Now() + kAskingPause);
+      round->NoteAsked(Now() + kAskInterval);
       asio::co_spawn(io_, AskOne(round, backend, bridges[next++], fresh, std::move(connection)),
                      asio::detached);
       continue;
@@ -172,8 +173,8 @@
                                           std::string host, bool fresh,
                                           std::shared_ptr<UpstreamConnection> connection) {
   const Endpoint peer{host, bridge_port_};
-  const BridgeOrder order{backend.key, fresh, kBridgePatience};
-  const TimePoint limit = Now() + kBridgePatience + kBridgeMargin;
+  const BridgeOrder order{backend.key, fresh, kBridgeConnectTimeout};
+  const TimePoint limit = Now() + kBridgeConnectTimeout + kBridgeMargin;
   const BridgeResult result = co_await connection->ConnectOver(peer, order, limit);
   --round->running;
   if (HasTried(result)) round->evidence.Note(AsConnect(result));
@@ -197,7 +198,7 @@
   }
   counters.bridges_failed_total.Add();
   if (result == BridgeResult::kLost || result == BridgeResult::kBusy) {
-    avoided_[host] = Now() + kAvoided;
+    avoided_[host] = Now() + kAvoidDuration;
   }
   const auto last = last_bridges_.find(backend);
   if (last != last_bridges_.end() && last->second.host == host) last_bridges_.erase(last);
@@ -221,7 +222,8 @@
 
 // Publishes whether this node can bridge: a node that has lost all its paths is not asked to.
 void PathService::NoteLostAll() {
-  if (std::exchange(told_lost_all_, table_.HasLostAllPaths()) == table_.HasLostAllPaths()) return;
+  if (std::exchange(announced_lost_all_, table_.HasLostAllPaths()) == table_.HasLostAllPaths())
+    return;
   peers_.SetBridges(!table_.HasLostAllPaths());
   Log(LogLevel::kWarning, table_.HasLostAllPaths() ? "paths_lost" : "paths_back",
       {{"cut_paths", std::to_string(table_.CutPaths())}});
@@ -230,8 +232,8 @@
 asio::awaitable<PathVerdict> PathService::Examine(Backend backend, TimePoint since,
                                                   std::optional<ConnectResult> own) {
   if (!peers_.HasBridge()) {
-    // No node can bridge (none is live, or they run an older build): only the node's own result
-    // counts, unless some of its paths are cut.
+    // No other node offers to bridge, for example because none is live or all run an older build:
+    // this node's own result counts, unless some of its paths are cut.
     const bool is_in_doubt = table_.CutPaths() > 0;
     co_return ReachabilityEvidence(own.value_or(ConnectResult::kFailed), is_in_doubt).Verdict();
   }
@@ -257,8 +259,8 @@
   if (!own.has_value()) own = co_await ConnectOwn(backend);
   if (own == ConnectResult::kConnected) co_return PathVerdict::kReachable;
   const OnPending nobody = [](const std::shared_ptr<UpstreamConnection>&) {};
-  std::vector<std::string> bridges = Bridges(backend.key, RegionSet(), kMostObservers);
-  const TimePoint limit = Now() + kLongestRound;
+  std::vector<std::string> bridges = Bridges(backend.key, RegionSet(), kMaxObservers);
+  const TimePoint limit = Now() + kRoundTimeout;
   const OpenedPath over =
       co_await AskOthers(backend, std::move(bridges), true, *own, limit, nobody);
   if (over.connection != nullptr) pool_.Keep(backend.key, over.connection, Now());
@@ -268,7 +270,7 @@
 // Connects directly and pools the connection unless it is reset at once.
 asio::awaitable<ConnectResult> PathService::ConnectOwn(Backend backend) {
   const OnPending nobody = [](const std::shared_ptr<UpstreamConnection>&) {};
-  const OpenedPath opened = co_await OpenOwn(backend, Now() + kOwnPatience, nobody);
+  const OpenedPath opened = co_await OpenOwn(backend, Now() + kDirectConnectTimeout, nobody);
   if (opened.connection == nullptr) co_return opened.own;
   const bool stands = co_await Stands(*opened.connection);
   if (!stands) {
@@ -282,7 +284,7 @@
 
 asio::awaitable<bool> PathService::Stands(UpstreamConnection& connection) {
   Timer timer(io_);
-  timer.expires_after(kStandsFor);
+  timer.expires_after(kResetObservation);
   boost::system::error_code ignored;
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   co_return connection.IsQuiet();
@@ -337,7 +339,7 @@
 void PathService::ExamineSoon(BackendKey backend) {
   const TimePoint now = Now();
   TimePoint& examined = examined_[backend];
-  if (now - examined < kExaminationPause) return;
+  if (now - examined < kExaminationInterval) return;
   examined = now;
   const Backend* known = dispatcher_.Registry().FindByKey(backend);
   if (known == nullptr || !dispatcher_.Registry().MayContact(backend, now)) return;
@@ -346,12 +348,12 @@
 
 void PathService::Tick(TimePoint now) {
   GiveUpSilent(now);
-  for (const BackendKey backend : table_.TakeProbes(now, kProbesAtOnce)) {
+  for (const BackendKey backend : table_.TakeProbes(now, kMaxConcurrentProbes)) {
     const Backend* known = dispatcher_.Registry().FindByKey(backend);
     if (known != nullptr) asio::co_spawn(io_, ConnectOwn(*known), asio::detached);
   }
-  if (now < next_forgetting_) return;
-  next_forgetting_ = now + kForgettingPause;
+  if (now < next_cleanup_) return;
+  next_cleanup_ = now + kCleanupInterval;
   const auto is_known = [this](BackendKey backend) {
     return dispatcher_.Registry().FindByKey(backend) != nullptr;
   };
@@ -361,7 +363,7 @@
                 [&](const auto& use) { return use.second->IsIdle() && !is_known(use.first); });
   std::erase_if(examined_, [&](const auto& entry) { return !is_known(entry.first); });
   std::erase_if(last_bridges_, [&](const auto& entry) {
-    return !is_known(entry.first) || now - entry.second.when > kBridgeRemembered;
+    return !is_known(entry.first) || now - entry.second.when > kLastBridgeRetention;
   });
 }
 
--- a/libs/relay/src/upstream/path_service.h
+++ b/libs/relay/src/upstream/path_service.h
@@ -55,7 +55,7 @@
   boost::asio::awaitable<PathVerdict> Examine(Backend backend, TimePoint since,
                                               std::optional<ConnectResult> own = std::nullopt);
 
-  // Starts Examine() in the background, at most once per kExaminationPause and back end.
+  // Starts Examine() in the background, at most once per kExaminationInterval and back end.
   void ExamineSoon(BackendKey backend);
 
   // Periodic work; to be called about ten times a second.
@@ -144,8 +144,8 @@
   std::unordered_map<BackendKey, LastBridge> last_bridges_;
   std::map<std::string, TimePoint> avoided_;  // nodes lost or busy: not asked before this
   std::minstd_rand random_;
-  bool told_lost_all_ = false;
-  TimePoint next_forgetting_{};
+  bool announced_lost_all_ = false;
+  TimePoint next_cleanup_{};
 };
 
 }  // namespace cartsail
--- a/libs/relay/src/upstream/upstream_connection.cc
+++ b/libs/relay/src/upstream/upstream_connection.cc
@@ -27,7 +27,7 @@
 constexpr Duration kDefaultIdleLimit = seconds(4);
 constexpr Duration kIdleMargin =
     milliseconds(700);  // safety margin before the back end's idle timeout
-constexpr int kMostInterimAnswers = 8;
+constexpr int kMaxInterimResponses = 8;
 
 bool IsTimeout(const beast::error_code& error) { return error == beast::error::timeout; }
 
@@ -160,7 +160,7 @@
 
 // Tells the bridging node that no exchange is in progress. The message is expected to fit into the
 // socket's send buffer, since the response was read; if it does not, the connection is broken.
-void UpstreamConnection::TellAnswerRead() {
+void UpstreamConnection::NotifyResponseRead() {
   if (over_.empty() || broken_ || write_pending_) return;
   const std::string message = EncodeBridgedRequest({});
   const int socket = stream_.Transport().socket().native_handle();
@@ -182,7 +182,7 @@
                                                             bool is_head_request,
                                                             TimePoint deadline) {
   stream_.Transport().expires_at(deadline);
-  for (int i = 0; i < kMostInterimAnswers; ++i) {
+  for (int i = 0; i < kMaxInterimResponses; ++i) {
     parser_.emplace();
     parser_->body_limit(boost::none);
     parser_->header_limit(kMostBufferedBytes / 2);
@@ -249,7 +249,7 @@
   reading_end_ = EndOf({});
   stream_.Transport().expires_never();
   EndWaiting();
-  TellAnswerRead();
+  NotifyResponseRead();
   NoteIdle(Now());
   co_return broken_ ? UpstreamError::kBroken : UpstreamError::kNone;
 }
--- a/libs/relay/src/upstream/upstream_connection.h
+++ b/libs/relay/src/upstream/upstream_connection.h
@@ -120,7 +120,7 @@
   ReadingEnd EndOf(const boost::beast::error_code& error) const;
   void NoteHeard();
   void EndWaiting();
-  void TellAnswerRead();
+  void NotifyResponseRead();
 
   UpstreamStream stream_;
   std::string over_;
