--- a/libs/relay/src/catalog/reading_duty.h
+++ b/libs/relay/src/catalog/reading_duty.h
@@ -85,9 +85,10 @@
   double share = 0;  // position in the isolated wait, from 0 to 1, random per node
 };
 
-// True when the node may list the store, which costs one call per page of entries. Seeds may do so
-// at once, and the other nodes get the list from them. For fleets without live seeds, the first
-// nodes of the order may list too, twice as many after each interval.
+// True when the node may list the store, which costs one store call per page; a page of the
+// platform's store holds 200 back ends. Seeds may list at once, and the other nodes get the list
+// from them. For fleets without live seeds, the first nodes of the order may list too, twice as
+// many after each interval.
 inline bool MayListAtStart(const StartingNode& node) {
   if (node.is_seed) return true;
   if (node.live_peers == 0) {
--- a/libs/relay/src/fleet/peer_gossip.cc
+++ b/libs/relay/src/fleet/peer_gossip.cc
@@ -172,8 +172,10 @@
   return hosts;
 }
 
-// Returns the next probe target: each live node of a zone in turn, reshuffled after each round.
-// Falls back to the other zones, or to this one, when no target is left; empty when there is none.
+// Returns the next probe target: each live node of a zone group (this zone, or all others) in turn.
+// A group's list is refilled and shuffled only when it is empty on entry. If it yields no live
+// node, the call falls back to the other group; if all remaining entries of both lists are stale,
+// it returns nullopt although live nodes may exist. The next call that uses a list refills it.
 std::optional<std::string> PeerGossip::NextTarget() {
   const bool is_far = ++probes_ % kCrossZoneProbePeriod == 0;
   const std::string zone = peers_.Self(TimePoint()).zone;
